--- /dev/null
+++ b/tests/test_golden_traffic.py
@@ -0,0 +1,263 @@
+"""Traffic and stored values of whole controllers in virtual time, compared with what is on file."""
+
+from __future__ import annotations
+
+import asyncio
+import re
+from typing import Any
+
+import msgspec
+import orjson
+import pytest
+
+from petrelthread import wire
+from petrelthread.rental import Rent
+from tests.golden_data import (
+    RecordedHosts,
+    cases,
+    expect,
+    expect_structure,
+    given,
+    response_facts,
+    structure,
+    template,
+    without_times,
+)
+from tests.virtual import play
+from tests.world import World, job
+
+
+async def until(at_s: float) -> None:
+    await asyncio.sleep(at_s - asyncio.get_running_loop().time())
+
+
+# ---- users -------------------------------------------------------------------------------------
+
+
+def test_requests_of_users() -> None:
+    """In the order of the file; a case on file as awaited is repeated until it comes so."""
+
+    async def scenario() -> None:
+        world = World()
+        leader = await world.led()
+        await asyncio.sleep(3.0)
+        for case in cases("users", "requests"):
+            method, target, body, awaited = given("users", "requests", case)
+            if method == "POST" and target == "/v2/runs" and isinstance(body, dict):
+                world.jobs.setdefault(str(body.get("name_id")), body)
+            data = b"" if body is None else orjson.dumps(body)
+            for tries in range(200):
+                response = await world.nodes[leader].handle(method, target, data)
+                facts = response_facts(response)
+                try:
+                    expect("users", "requests", case, facts)
+                    break
+                except AssertionError:
+                    if not awaited or tries == 199:
+                        raise
+                await asyncio.sleep(0.3)
+        finals = [[key, value] for key, value in world.store.puts if key.startswith("pt/f/")]
+        expect("stored_keys", "written", "final states", sorted(finals))
+
+    play(scenario())
+
+
+# ---- workers -----------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("case", cases("workers", "answers to reports"))
+def test_answers_to_reports(case: str) -> None:
+    async def scenario() -> None:
+        world = World()
+        leader = await world.led()
+        await asyncio.sleep(3.0)
+        role, method, body = given("workers", "answers to reports", case)
+        asked = leader if role == "leader" else next(n for n in world.nodes if n != leader)
+        if role == "none leads":
+            for name in list(world.nodes):
+                if name != asked:
+                    world.crash(name)
+            world.net.cut |= {frozenset((asked, "state"))}
+            world.nodes[asked].election.on_key("lead", None, 10**6)
+        response = await world.nodes[asked].handle(method, "/checkin", orjson.dumps(body))
+        facts = response_facts(response)
+        home = facts["body"].get("home")
+        if home == leader:
+            facts["body"]["home"] = "<leader>"
+        expect("workers", "answers to reports", case, facts)
+
+    play(scenario())
+
+
+# ---- rentals, catalogue, operators' settings ---------------------------------------------------
+
+
+def test_rental_and_return_as_stored_and_sent() -> None:
+    async def scenario() -> None:
+        world = World()
+        hosts = RecordedHosts(world)
+        node = world.nodes[await world.led()]
+        await until(120.0)
+        names = node.cluster_state.names
+        kind, zone = names.types.index("small"), names.zones.index("b")
+        now = asyncio.get_running_loop().time()
+        await node.provisioner._rent(Rent(kind, zone, True, 2), now)
+        first = next(iter(node.fleet.machines.values()))
+        await node.provisioner._return([first], now)
+        calls = [[e["method"], e["target"], e["body"]] for e in hosts.matching("POST", "/hosts.*")]
+        expect("cloud", "sent", "rental and return", calls)
+        puts = [[key, value] for key, value in world.store.puts if key[:5] in ("pt/c/", "pt/x/")]
+        expect("stored_keys", "written", "rental and return", puts)
+        catalogs = [value for key, value in world.store.puts if key == "pt/catalog"]
+        expect("stored_keys", "written", "catalogue", catalogs)
+
+    play(scenario())
+
+
+def test_the_stored_catalogue_is_read() -> None:
+    async def scenario() -> None:
+        world = World()
+        world.cloud.down = True
+        world.store.put("pt/catalog", given("stored_keys", "catalogue read", "one type"))
+        node = world.nodes[await world.led()]
+        await asyncio.sleep(3.0)
+        catalog = wire.Catalog(node.provisioner.catalog() or ())
+        expect("stored_keys", "catalogue read", "one type", msgspec.to_builtins(catalog))
+
+    play(scenario())
+
+
+def test_settings_of_operators() -> None:
+    async def scenario() -> None:
+        world = World()
+        node = world.nodes[await world.led()]
+        await until(120.0)
+        for case in cases("admin", "settings"):
+            method, body = given("admin", "settings", case)
+            data = b"" if body is None else orjson.dumps(body)
+            response = await node.handle_peer(method, "/admin/v1/settings", data)
+            facts = response_facts(response)
+            if case == "get again":
+                shown = facts["body"]["settings"]
+                facts["body"]["settings"] = [knob for knob in shown if knob["set"]]
+            expect("admin", "settings", case, facts)
+            await asyncio.sleep(1.0)
+            if case == "change":
+                assert [n.options.idle_s for n in world.nodes.values()] == [7.0, 7.0, 7.0]
+        puts = [value for key, value in world.store.puts if key == "pt/options"]
+        expect("stored_keys", "written", "options", puts)
+
+    play(scenario())
+
+
+# ---- administration ----------------------------------------------------------------------------
+
+
+def test_administration_and_its_forwarding() -> None:
+    async def scenario() -> None:
+        world = World()
+        hosts = RecordedHosts(world)
+        leader = await world.led()
+        follower = next(name for name in world.nodes if name != leader)
+        await world.submit(job("wk-000001", 2, crew="red"))
+        await world.submit(job("wk-000002", 2, crew="blue", shape="service", rank="prod"))
+        await world.submit(job("wk-000003", 9, crew="guest", shape="group", cores=3.0))
+        await until(125.0)
+        for case in cases("admin", "answers"):
+            asked, method, path = given("admin", "answers", case)
+            node = world.nodes[leader if asked == "leader" else follower]
+            facts = response_facts(await node.handle_peer(method, f"/admin/v1/{path}", b""))
+            expect("admin", "answers", case, without_times(facts))
+        forwarded = [
+            {name: e[name] for name in ("method", "target", "body", "status")}
+            for e in hosts.exchanges
+            if e["from"] == follower and e["target"].startswith("/admin/")
+        ]
+        expect("peers", "forwarded", "of a follower", forwarded)
+
+    play(scenario())
+
+
+def test_structure_of_a_status_in_trouble() -> None:
+    """Answers of cloud and workers are lost; then a new leader that no worker reaches, and a
+    follower without the state service."""
+    found: dict[str, set[str]] = {}
+    operations: set[str] = set()
+
+    async def look(world: World, *names: str) -> None:
+        for name in names:
+            target = "/admin/v1/status?direct=1"
+            response = await world.nodes[name].handle_peer("GET", target, b"")
+            status = orjson.loads(response.body)
+            operations.update(re.sub(r"\d+", "#", op["operation"]) for op in status["operations"])
+            structure(status, "", found)
+
+    async def scenario() -> None:
+        world = World()
+        leader = await world.led()
+        lost = ("/hosts", "/do")
+        world.net.fate = lambda source, addr, method, target, body: (0.0, target in lost)
+        await world.submit(job("wk-000001", 6))
+        while not any(world.judge.on.values()):
+            await asyncio.sleep(0.5)
+            await look(world, leader)
+        world.net.cut |= {frozenset((m, n)) for m in world.cloud.machines for n in world.nodes}
+        world.crash(leader)
+        await asyncio.sleep(1.0)
+        leader = await world.led()
+        follower = next(name for name in world.nodes if name != leader)
+        world.net.cut.add(frozenset((follower, "state")))
+        for _ in range(8):
+            await asyncio.sleep(1.0)
+            await look(world, leader, follower)
+        expect_structure("admin", "structure of a status in trouble", found)
+        expect("admin", "operations shown", "of every kind", sorted(operations))
+
+    play(scenario())
+
+
+# ---- structure of everything that travels ------------------------------------------------------
+
+
+def partner_of(address: str) -> str:
+    host, _, port = address.partition(":")
+    if host in ("state", "cloud"):
+        return "state_service" if host == "state" else "cloud"
+    return {"1": "controller", "2": "peers", "9": "workers"}[port]
+
+
+def test_structure_of_traffic() -> None:
+    """Tasks that run, fail, end and are cancelled; a service; a leader that ends; returns."""
+    found: dict[str, dict[str, set[str]]] = {}
+
+    def note(file: str, at: str, value: Any) -> None:
+        structure(value, at, found.setdefault(file, {}))
+
+    async def scenario() -> None:
+        world = World()
+        hosts = RecordedHosts(world)
+        world.mistaken.add("wk-000002")
+        world.spread_s = 6.0
+        for n in range(4):
+            await world.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], due_s=90.0))
+        await world.submit(job("wk-000009", 2, crew="guest", shape="service", rank="prod"))
+        running = await world.running(8)
+        await world.cancel(next(leg[:9] for leg in running if not leg.startswith("wk-000009")))
+        await asyncio.sleep(20.0)
+        world.crash(await world.led())
+        await asyncio.sleep(70.0)
+        for key, value in world.store.puts:
+            note("stored_keys", template(key), value)
+        for exchange in hosts.exchanges:
+            partner = partner_of(exchange["to"])
+            target = exchange["target"]
+            if partner == "controller":
+                partner = "workers" if target == "/checkin" else "users"
+            at = f"{exchange['method']} {template(target)}"
+            note(partner, at, exchange["body"])
+            note(partner, f"{at} {exchange['status']}", exchange["answer"])
+
+    play(scenario())
+    assert len(found) == 6
+    for file, places in found.items():
+        expect_structure(file, "structure of traffic", places)
