--- a/petrelthread/admin/alerts.py
+++ b/petrelthread/admin/alerts.py
@@ -26,7 +26,7 @@
     """By kind, so that a count that changes is the same trouble still."""
     out: dict[str, str] = {}
     election = node.election
-    silent_s = now - node.watch_cache.last_ok
+    silent_s = now - node.watch_cache.current_as_of
     if not node.watch_cache.loaded.is_set():
         out["state"] = "this node has not yet read the state service"
     elif silent_s > STATE_S:
@@ -35,15 +35,15 @@
         out["leader"] = "there is no leader: nothing is started"
     if now - node.pause_detector.since < 10.0:
         out["still"] = f"this node stood still for {node.pause_detector.stood_s:.0f} s"
-    if now - node.gate.turned_away_at < LIMIT_FELT_S:
+    if now - node.gate.last_shed_at < LIMIT_FELT_S:
         out["processor"] = (
             "limit reached, processor: more requests come than this node can serve,"
-            f" {node.gate.turned_away} turned away so far"
+            f" {node.gate.shed} turned away so far"
         )
-    if now - node.gate.refused_at < LIMIT_FELT_S:
+    if now - node.gate.last_refused_at < LIMIT_FELT_S:
         out["sockets"] = (
             "limit reached, sockets of the public address:"
-            f" {node.gate.refused} connections refused so far"
+            f" {node.gate.refused_connections} connections refused so far"
         )
     if not election.leading:
         return out
--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -11,9 +11,16 @@
 from petrelthread import protocol
 from petrelthread.admin import views
 from petrelthread.admin.setting_definitions import KNOBS, OptionError, check, with_defaults
-from petrelthread.http import NoAnswer, Response, answer
-from petrelthread.http.server import refusal
-from petrelthread.store import ROOT, Conflict, NoSuchLease, Request, StateDown, StateUnsure
+from petrelthread.http import NoResponseError, Response, json_response
+from petrelthread.http.server import error_response
+from petrelthread.store import (
+    KEY_PREFIX,
+    LeaseExpiredError,
+    Request,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TransactionConflictError,
+)
 
 if TYPE_CHECKING:
     from petrelthread.controller import Controller
@@ -36,71 +43,73 @@
         if what == "settings" and not rest:
             if method == "GET":
                 return await self._get_settings()
-            return await self._set(body) if method == "PUT" else refusal(405, "use GET or PUT")
+            return (
+                await self._set(body) if method == "PUT" else error_response(405, "use GET or PUT")
+            )
         if what not in ("status", "zones", "jobs") or (what == "jobs") != bool(rest):
-            return refusal(404, "no such path")
+            return error_response(404, "no such path")
         if method != "GET":
-            return refusal(405, "use GET")
+            return error_response(405, "use GET")
         # On waking from a standstill, or cut off for a while, this node may take itself for the
         # leader still: what it shows is no older than what others were told, or says so.
-        await self._node.watch_cache.fresh()
+        await self._node.watch_cache.refresh()
         home = self._addrs.get(self._node.election.home or "")
         if not self._node.election.leading and home and DIRECT not in query:
             try:
                 reply = await self._request(home, "GET", f"{path}?{DIRECT}", timeout=1.5)
                 return Response(reply.status, reply.body)
-            except NoAnswer as error:
+            except NoResponseError as error:
                 log.info("the leader does not answer, showing what this node knows: %s", error)
         now = asyncio.get_running_loop().time()
         if what == "status":
-            return answer(200, views.status(self._node, now))
+            return json_response(200, views.status(self._node, now))
         if what == "zones":
-            return answer(200, {"zones": views.zones(self._node)})
+            return json_response(200, {"zones": views.zones(self._node)})
         job = self._node.cluster_state.by_id.get(rest)
         if job is None:
-            return refusal(404, f"unknown job {rest}")
-        return answer(200, views.explain(self._node, job, now))
+            return error_response(404, f"unknown job {rest}")
+        return json_response(200, views.explain(self._node, job, now))
 
     async def _get_settings(self) -> Response:
-        if not await self._node.watch_cache.fresh():
-            return refusal(503, "state service unreachable", 2)
+        if not await self._node.watch_cache.refresh():
+            return error_response(503, "state service unreachable", 2)
         stored = self._node.cluster_state.options or {"values": {}, "stamp": 0}
         values = with_defaults(stored["values"])
         shown = [
             {"name": name, "value": values[name], "set": name in stored["values"], **knob._asdict()}
             for name, knob in KNOBS.items()
         ]
-        return answer(200, {"version": stored["stamp"], "settings": shown})
+        return json_response(200, {"version": stored["stamp"], "settings": shown})
 
     async def _set(self, body: bytes) -> Response:
         try:
             asked = orjson.loads(body)
             name, value, version = asked["name"], asked["value"], asked["version"]
         except (orjson.JSONDecodeError, KeyError, TypeError):
-            return refusal(400, "expected an object with name, value and version")
+            return error_response(400, "expected an object with name, value and version")
         if not isinstance(name, str) or not isinstance(version, int):
-            return refusal(400, "name must be a string and version a whole number")
+            return error_response(400, "name must be a string and version a whole number")
         try:
             number = None if value is None else check(name, value)
             if value is None and name not in KNOBS:
                 raise OptionError(f"unknown setting {name}")
         except OptionError as error:
-            return refusal(400, str(error))
-        if not await self._node.watch_cache.fresh():
-            return refusal(503, "state service unreachable", 2)
+            return error_response(400, str(error))
+        if not await self._node.watch_cache.refresh():
+            return error_response(503, "state service unreachable", 2)
         stored: dict[str, Any] = self._node.cluster_state.options or {"values": {}, "stamp": 0}
         if stored["stamp"] != version:
-            return refusal(409, f"version {version} is stale, it is {stored['stamp']}")
+            return error_response(409, f"version {version} is stale, it is {stored['stamp']}")
         values = {**stored["values"], name: number}
         if number is None:
             del values[name]
-        key = ROOT + "options"
+        key = KEY_PREFIX + "options"
         try:
-            stamp = await self._node.state.multi(
+            stamp = await self._node.state.transact(
                 [protocol.when(key, version)], [protocol.put(key, values)]
             )
-        except Conflict:
-            return refusal(409, f"version {version} is stale")
-        except (StateDown, StateUnsure, NoSuchLease) as error:
-            return refusal(503, f"state service: {error}", 2)
-        return answer(200, {"version": stamp, "name": name, "value": number})
+        except TransactionConflictError:
+            return error_response(409, f"version {version} is stale")
+        except (StateUnavailableError, StateResultUnknownError, LeaseExpiredError) as error:
+            return error_response(503, f"state service: {error}", 2)
+        return json_response(200, {"version": stamp, "name": name, "value": number})
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -34,7 +34,7 @@
     """The first cause that holds, from the service as a whole down to the job's own machines."""
     if job.final is not None:
         return f"It is over: {job.final}."
-    if now - node.watch_cache.last_ok > STATE_S:
+    if now - node.watch_cache.current_as_of > STATE_S:
         return "The state service does not answer, and nothing is started without it."
     if node.election.leader is None:
         since_s = node.troubles.since("leader", now)
--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -9,7 +9,7 @@
 import pytest
 
 from petrelthread.cli import main
-from petrelthread.http import Reply
+from petrelthread.http import ClientResponse
 from tests.virtual import play
 from tests.world import NODES, World, job
 
@@ -17,7 +17,7 @@
 async def admin(world: World, node: str, method: str, path: str, body: Any = None) -> Any:
     addr = f"{node}:2"
     request = world.net.requester("operator")
-    reply: Reply = await request(addr, method, f"/admin/v1/{path}", body, timeout=5.0)
+    reply: ClientResponse = await request(addr, method, f"/admin/v1/{path}", body, timeout=5.0)
     return reply.status, orjson.loads(reply.body)
 
 
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -44,7 +44,7 @@
         "leader": election.home,
         "epoch": election.known_epoch,
         "token": election.token if election.acting else None,
-        "state_service": now - node.watch_cache.last_ok < STATE_S,
+        "state_service": now - node.watch_cache.current_as_of < STATE_S,
         "siblings": siblings,
         "zones": zones(node),
         "machines": _machines(node),
--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -11,7 +11,7 @@
 from petrelthread.controller import Controller
 from petrelthread.emulator.workload import job_spec
 from petrelthread.fleet import Health
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.settings import Settings, parse
 from petrelthread.state import ClusterState, Job, first_number
 
@@ -70,9 +70,9 @@
 
 async def nowhere(
     addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-) -> Reply:
+) -> ClientResponse:
     """A network on which nothing is ever reached."""
-    raise NoAnswer("no network", False)
+    raise NoResponseError("no network", False)
 
 
 class PopulatedLeader:
--- a/petrelthread/cli/serve.py
+++ b/petrelthread/cli/serve.py
@@ -9,7 +9,7 @@
 
 from petrelthread import __version__
 from petrelthread.controller import Controller
-from petrelthread.http import Client, Server, share_out
+from petrelthread.http import Client, Server, divide_sockets
 from petrelthread.settings import Settings, split_addr
 
 log = logging.getLogger(__name__)
@@ -29,15 +29,17 @@
 
 
 async def _serve(settings: Settings) -> None:
-    sockets = share_out(settings.cluster.machine_limits.max_connections, len(settings.siblings))
+    sockets = divide_sockets(
+        settings.cluster.machine_limits.max_connections, len(settings.siblings)
+    )
     lease = Client(LEASE_SOCKETS)
-    client, commands = Client(sockets.duties - LEASE_SOCKETS), Client(sockets.commands)
+    client, commands = Client(sockets.outgoing - LEASE_SOCKETS), Client(sockets.commands)
     controller = Controller(
         settings,
         client.request,
         random.Random(),
         commands=commands.request,
-        commands_at_once=commands.at_once,
+        commands_at_once=commands.max_concurrent,
         lease_request=lease.request,
     )
     # A worker that has missed two reports is cut off, taken or with another controller.
@@ -55,4 +57,4 @@
     while True:
         await asyncio.sleep(5.0)
         for client in clients:
-            client.sweep()
+            client.close_idle()
--- a/petrelthread/controller.py
+++ b/petrelthread/controller.py
@@ -16,8 +16,8 @@
 from petrelthread.admin.setting_definitions import rental_options
 from petrelthread.fleet import CheckIns, Commands, Dispatch, Fleet, SilenceWatch, ZoneWatch
 from petrelthread.fleet.failure_detector import FIND_LEADER_S
-from petrelthread.http import Response, TurnGate, answer
-from petrelthread.http.server import refusal
+from petrelthread.http import LoadShedder, Response, json_response
+from petrelthread.http.server import error_response
 from petrelthread.job_api import Intake
 from petrelthread.leadership import ACTING, Election, Role
 from petrelthread.pause_detector import PauseDetector
@@ -30,10 +30,10 @@
 from petrelthread.settings import Settings
 from petrelthread.state import Claims, ClusterState, Interners, Outcome, epoch_of
 from petrelthread.store import (
-    ROOT,
-    Budget,
+    KEY_PREFIX,
     Request,
     StateClient,
+    TokenBucket,
     WatchCache,
     WriteQuota,
     WriteRates,
@@ -76,10 +76,10 @@
         workers = cluster.workers
         nodes = max(1, cluster.count)
         reads = cluster.state.rps * STATE_SHARE / nodes
-        self._reads = Budget(reads, reads / 2)
+        self._reads = TokenBucket(reads, reads / 2)
         self._write_limit = cluster.state.write_rps
         self._write_rates = WriteRates.divide(self._write_limit, nodes)
-        self._writes = Budget(self._write_limit * STATE_SHARE / nodes, self._write_rates.burst)
+        self._writes = TokenBucket(self._write_limit * STATE_SHARE / nodes, self._write_rates.burst)
         self.write_quota = WriteQuota(self._write_rates.follower)
         self._writes_of_late = 0.0
         self._started_at = float("inf")
@@ -102,7 +102,7 @@
             self._on_token,
         )
         self.fleet = Fleet(self.cluster_state, workers.lease_s, workers.report_s, hold_over_s)
-        self.fleet.uncertain.read_at = lambda: self.watch_cache.last_ok
+        self.fleet.uncertain.read_at = lambda: self.watch_cache.current_as_of
         claims = Claims(state, self.election.fence)
         self._claims = claims
         estimates = Estimates()
@@ -125,11 +125,13 @@
             claims,
             self.dispatch,
             self.view,
-            self.watch_cache.fresh,
-            lambda now: self._writes.spare(now, CLEAN_UP_KEEPS),
+            self.watch_cache.refresh,
+            lambda now: self._writes.available(now, CLEAN_UP_KEEPS),
         )
         cloud_rate = cluster.cloud.rps * 0.85
-        cloud = CloudClient(request, settings.endpoints.cloud, Budget(cloud_rate, 2 * cloud_rate))
+        cloud = CloudClient(
+            request, settings.endpoints.cloud, TokenBucket(cloud_rate, 2 * cloud_rate)
+        )
         self.options = Options()
         self.zone_watch = ZoneWatch(workers.report_s)
         self.provisioner = Provisioner(
@@ -157,10 +159,10 @@
             self._heartbeat,
             self._on_heartbeat,
             self._lend,
-            self.write_quota.took,
+            self.write_quota.record_loan,
         )
         self.pause_detector = PauseDetector(self._on_still)
-        self.gate = TurnGate()  # of requests to the public address
+        self.gate = LoadShedder()  # of requests to the public address
         self.troubles = Troubles()
         self.admin = Admin(self, request)
         self._silent_s = 2.5 * workers.report_s + 4.0
@@ -223,7 +225,7 @@
         if not acting:
             self.fleet.step_down()
         self._set_write_rate(asyncio.get_running_loop().time())
-        self.watch_cache.gap_s = 0.03 if acting else 0.15
+        self.watch_cache.poll_interval_s = 0.03 if acting else 0.15
         if role is Role.LEADING:
             # At once: until the catalogue is read, the first users are sent away for a second.
             self.provisioner.wake.set()
@@ -247,7 +249,7 @@
             " %d open jobs, %d starts and %d cloud calls to settle",
             epoch,
             self.watch_cache.revision,
-            now - self.watch_cache.last_ok,
+            now - self.watch_cache.current_as_of,
             len(self.cluster_state.open),
             unknown,
             len(self.provisioner.ops),
@@ -267,10 +269,10 @@
             self.settings.host_name,
             self.election.known_epoch,
             self.election.leading,
-            now - self.watch_cache.last_ok < READY_S,
+            now - self.watch_cache.current_as_of < READY_S,
             self.check_ins.recent(now),
             self.settings.zone,
-            asks=self.write_quota.base if self._writes.short(now) and self._may_ask(now) else 0.0,
+            asks=self.write_quota.base if self._writes.is_low(now) and self._may_ask(now) else 0.0,
         )
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -279,7 +281,7 @@
     def _lend(self, heartbeat: Heartbeat) -> float:
         now = asyncio.get_running_loop().time()
         # Only who has not written for a while lends.
-        asks = heartbeat.asks if self._writes.full(now) else 0.0
+        asks = heartbeat.asks if self._writes.is_full(now) else 0.0
         amount = self.write_quota.lend(heartbeat.node, asks, self._writes_of_late, now)
         self._set_write_rate(now)
         return amount
@@ -291,13 +293,13 @@
         """
         if self.election.role not in ACTING:
             return True
-        refused = now - self.state.refused_at < LEND_AFTER_S
+        refused = now - self.state.rate_limited_at < LEND_AFTER_S
         return not refused and now - self._started_at > LEND_AFTER_S
 
     def _learn_write_limit(self) -> None:
         """A refused write shows that the service may have lowered its limit, as was announced."""
         lowered = self.settings.cluster.state.lowered_write_rps
-        if not self.state.write_refused or self._write_limit <= lowered:
+        if not self.state.write_rate_limited or self._write_limit <= lowered:
             return
         log.info("the state service takes %.0f writes a second from now on", lowered)
         self._write_limit = lowered
@@ -323,12 +325,14 @@
         self.pause_detector.look(asyncio.get_running_loop().time())
         path = target.partition("?")[0]
         if path == protocol.CHECKIN_PATH:
-            return self.check_ins.handle(body) if method == "POST" else refusal(405, "use POST")
+            return (
+                self.check_ins.handle(body) if method == "POST" else error_response(405, "use POST")
+            )
         if path == protocol.JOBS_PATH or path.startswith(protocol.JOBS_PATH + "/"):
             return await self.intake.handle(method, path, body)
         if path == protocol.READY_PATH:
-            return self._ready() if method == "GET" else refusal(405, "use GET")
-        return refusal(404, "no such path")
+            return self._ready() if method == "GET" else error_response(405, "use GET")
+        return error_response(404, "no such path")
 
     async def handle_peer(self, method: str, target: str, body: bytes) -> Response:
         self.pause_detector.look(asyncio.get_running_loop().time())
@@ -337,18 +341,18 @@
             return await self.heartbeats.handle(method, body)
         if path.startswith(ADMIN_PREFIX):
             return await self.admin.handle(method, target, body)
-        return refusal(404, "no such path")
+        return error_response(404, "no such path")
 
     def _ready(self) -> Response:
         now = asyncio.get_running_loop().time()
         if not self.watch_cache.loaded.is_set():
-            return refusal(503, "still starting", 1)
+            return error_response(503, "still starting", 1)
         # Refused by the state service alone, others serve better. If it is down for all, to leave
         # would only add the way back to the outage.
         alone = any(heartbeat.state_ok for heartbeat in self.heartbeats.fresh(3.0))
-        if alone and now - self.watch_cache.last_ok > READY_S:
-            return refusal(503, "state service unreachable", 1)
-        return answer(200, {"ready": True})
+        if alone and now - self.watch_cache.current_as_of > READY_S:
+            return error_response(503, "state service unreachable", 1)
+        return json_response(200, {"ready": True})
 
     # ---- loops -----------------------------------------------------------------------------------
 
@@ -408,7 +412,7 @@
         While reports are turned away for want of processor time their lack proves little: machines
         that were well were returned by the hundred. What the lease proves holds all the same.
         """
-        overloaded = now - self.gate.turned_away_at < self._silent_s
+        overloaded = now - self.gate.last_shed_at < self._silent_s
         return max(self._silent_s, self.fleet.lease_s) if overloaded else self._silent_s
 
     async def _provisioning_loop(self) -> None:
@@ -441,7 +445,9 @@
         value = msgspec.to_builtins(protocol.Catalog(self.provisioner.catalog() or ()))
         if len(msgspec.json.encode(value)) > self.settings.cluster.state.value_kb * 1000:
             return
-        outcome, _ = await self._claims.claim([protocol.put(ROOT + "catalog", value)], "catalog")
+        outcome, _ = await self._claims.claim(
+            [protocol.put(KEY_PREFIX + "catalog", value)], "catalog"
+        )
         if outcome is Outcome.WON:
             self.cluster_state.catalog = value
 
@@ -456,8 +462,8 @@
             self.pause_detector.look(now)
             self.troubles.update(now_wrong(self, now), now)
             late_s = max(late_s, now - asked - HOUSEKEEPING_S)
-            lately = (self._writes.taken - taken) / max(now - asked, 0.1)
-            taken = self._writes.taken
+            lately = (self._writes.total_acquired - taken) / max(now - asked, 0.1)
+            taken = self._writes.total_acquired
             self._writes_of_late += (lately - self._writes_of_late) * 0.3
             self._set_write_rate(now)
             if now - told_at > LOAD_EVERY_S:
@@ -472,8 +478,8 @@
                         self.fleet.uncertain.oldest_s(now),
                     )
                 late_s, told_at = 0.0, now
-            if self.watch_cache.loaded.is_set() and now - self.watch_cache.last_ok > 1.0:
-                await self.watch_cache.fresh()
+            if self.watch_cache.loaded.is_set() and now - self.watch_cache.current_as_of > 1.0:
+                await self.watch_cache.refresh()
             await self._judge_hearing(now)
             if self.election.leading:
                 self._judge_zones(now)
--- a/petrelthread/emulator/loopback.py
+++ b/petrelthread/emulator/loopback.py
@@ -12,7 +12,14 @@
 
 from petrelthread.emulator.faults import LinkFaults
 from petrelthread.emulator.world import Handler
-from petrelthread.http import Client, NoAnswer, Reply, Response, Server, answer
+from petrelthread.http import (
+    Client,
+    ClientResponse,
+    NoResponseError,
+    Response,
+    Server,
+    json_response,
+)
 
 HOST = "127.0.0.1"
 HANG_S = 60.0  # longer than anybody waits for an answer
@@ -107,19 +114,19 @@
             )
             if fate.answer_lost:
                 await asyncio.sleep(HANG_S)
-            return answer(status, content)
+            return json_response(status, content)
 
         return serve
 
     # ---- asking ------------------------------------------------------------------------------
 
-    def requester(self, source: str) -> Callable[..., Awaitable[Reply]]:
+    def requester(self, source: str) -> Callable[..., Awaitable[ClientResponse]]:
         """What carries the requests of a worker or user."""
         client = Client(CLIENT_SOCKETS)
 
         async def request(
             address: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-        ) -> Reply:
+        ) -> ClientResponse:
             name = self._names.get(address, address)
             copy_s = self._faults.copy_delay_s(target)
             if copy_s is not None:
@@ -127,11 +134,11 @@
             cut = frozenset((source, name)) in self._faults.cut
             if cut or source in self._faults.not_sending:
                 await asyncio.sleep(timeout)
-                raise NoAnswer("lost on the way", True)
+                raise NoResponseError("lost on the way", True)
             reply = await client.request(address, method, target, body, timeout)
             if source in self._faults.not_receiving:
                 await asyncio.sleep(timeout)
-                raise NoAnswer("the answer was lost", True)
+                raise NoResponseError("the answer was lost", True)
             return reply
 
         return request
@@ -141,7 +148,7 @@
         client: Client, delay_s: float, address: str, method: str, target: str, body: Any
     ) -> None:
         await asyncio.sleep(delay_s)
-        with contextlib.suppress(NoAnswer):  # nobody waits for it
+        with contextlib.suppress(NoResponseError):  # nobody waits for it
             await client.request(address, method, target, body)
 
     def _background_task(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -158,14 +165,14 @@
 
 
 def forwarder(
-    requester: Callable[..., Awaitable[Reply]], address: str, timeout_s: float
+    requester: Callable[..., Awaitable[ClientResponse]], address: str, timeout_s: float
 ) -> Handler:
     """A handler that passes requests on, as between two controllers."""
 
     async def forward(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         try:
             reply = await requester(address, method, target, body, timeout_s)
-        except NoAnswer:
+        except NoResponseError:
             await asyncio.sleep(timeout_s)
             return 503, {"error": "no answer"}
         return reply.status, orjson.loads(reply.body)
--- a/petrelthread/emulator/loopback_world.py
+++ b/petrelthread/emulator/loopback_world.py
@@ -31,7 +31,7 @@
 from petrelthread.emulator.workload import PlannedJob
 from petrelthread.settings import UNLIMITED, Workers
 from petrelthread.state import Job
-from petrelthread.store import ROOT
+from petrelthread.store import KEY_PREFIX
 
 PEER_WAIT_S = 0.8
 SPOT_SHARE = 2 / 3
@@ -165,13 +165,13 @@
         if job.submit_s < 0:
             spec = protocol.JobSpec(**job.spec)
             value = Job.encode(spec, time.time() + job.submit_s)
-            self.store.put(f"{ROOT}j/{job.job_id}", value)
+            self.store.put(f"{KEY_PREFIX}j/{job.job_id}", value)
             self.judge.told(job.job_id, 201, {"status": "queued"})
 
     @property
     def leader(self) -> str | None:
         """Whom the state service has as the leader."""
-        value = self.store.keys.get(f"{ROOT}lead")
+        value = self.store.keys.get(f"{KEY_PREFIX}lead")
         return None if value is None else str(value[0]["node"])
 
     def close(self) -> None:
--- a/petrelthread/emulator/users.py
+++ b/petrelthread/emulator/users.py
@@ -11,7 +11,7 @@
 
 from petrelthread.emulator.judge import Judge
 from petrelthread.emulator.workload import PlannedJob
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 
 SUBMIT_WAIT_S = 5.0  # for an answer, as PROTOCOL has it
 POLL_WAIT_S = 2.0
@@ -23,7 +23,7 @@
 RUNNING, FINAL = "running", ("done", "aborted")
 ACCEPTED = (200, 201)
 
-Request = Callable[..., Awaitable[Reply]]
+Request = Callable[..., Awaitable[ClientResponse]]
 
 
 class Users:
@@ -107,7 +107,7 @@
         """Status and body; status 0 if no answer came."""
         try:
             reply = await self._request(address, method, path, body, wait_s)
-        except NoAnswer:
+        except NoResponseError:
             return 0, {}
         answer = orjson.loads(reply.body)
         self._judge.told(job_id, reply.status, answer)
--- a/petrelthread/emulator/worker.py
+++ b/petrelthread/emulator/worker.py
@@ -8,7 +8,7 @@
 import orjson
 
 from petrelthread.emulator.world import World
-from petrelthread.http import NoAnswer
+from petrelthread.http import NoResponseError
 
 
 class Worker:
@@ -121,7 +121,7 @@
                 reply = await request(
                     self.world.public_address(node), "POST", "/checkin", self.report(), timeout=4.0
                 )
-            except NoAnswer:
+            except NoResponseError:
                 self.node = (self.node + 1) % len(nodes)
                 await asyncio.sleep(1.0)
                 continue
--- a/petrelthread/emulator/world.py
+++ b/petrelthread/emulator/world.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import TYPE_CHECKING, Any, Protocol
 
-from petrelthread.http import Reply
+from petrelthread.http import ClientResponse
 from petrelthread.settings import Workers
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
     def detach(self, address: str) -> None:
         """Nobody answers at the address any more."""
 
-    def requester(self, source: str) -> Callable[..., Awaitable[Reply]]:
+    def requester(self, source: str) -> Callable[..., Awaitable[ClientResponse]]:
         """What carries the requests of ``source``. Raises NoAnswer."""
 
 
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -11,7 +11,7 @@
 from petrelthread.fleet.failure_detector import SilenceWatch
 from petrelthread.fleet.machine import Machine
 from petrelthread.fleet.registry import NO_EPOCH, Fleet
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.state import Attempt, Op, move
 from petrelthread.store import Request
 
@@ -82,11 +82,11 @@
                     machine.addr, "POST", protocol.DO_PATH, body, timeout=ANSWER_S
                 )
                 report = protocol.parse_report(reply.body)
-            except (NoAnswer, protocol.BadRequest) as error:
+            except (NoResponseError, protocol.BadRequest) as error:
                 log.debug("machine %s: not read: %s", machine.name, error)
                 # A time limit that struck late, or while we stood still, shows only that we were.
                 on_time = clock() - asked < 2 * ANSWER_S + ON_TIME_S and fleet.resumed_at < asked
-                if fleet.epoch == epoch and on_time and isinstance(error, NoAnswer):
+                if fleet.epoch == epoch and on_time and isinstance(error, NoResponseError):
                     self._silence.read(machine, answered=False)
                 return
         if reply.status == 200 and fleet.epoch == epoch:
@@ -103,7 +103,7 @@
         try:
             await self._request(machine.addr, "GET", protocol.SHOW_PATH, timeout=PROBE_S)
             answered = True
-        except NoAnswer:
+        except NoResponseError:
             answered = False
         finally:
             machine.probing = False
@@ -128,7 +128,7 @@
 
     async def _command(
         self, machine: Machine, starting: list[Attempt], stopping: list[Attempt], epoch: int
-    ) -> Reply | None:
+    ) -> ClientResponse | None:
         """Send one direct command with what is still wanted of it; the answer, if one came."""
         fleet = self._fleet
         if fleet.epoch != epoch:
@@ -149,10 +149,10 @@
             reply = await self._request(
                 machine.addr, "POST", protocol.DO_PATH, body, timeout=ANSWER_S
             )
-        except NoAnswer as error:
+        except NoResponseError as error:
             log.debug("machine %s: no answer to commands: %s", machine.name, error)
             machine.unanswered_at = clock()
-            self._give_up(going, error.sent)
+            self._give_up(going, error.request_sent)
             return None
         finally:
             machine.sending = max(0, machine.sending - 1)
@@ -188,7 +188,7 @@
             if attempt.state is Op.DISPATCHING:
                 move(attempt, Op.UNKNOWN)
 
-    def _take_in(self, machine: Machine, reply: Reply) -> None:
+    def _take_in(self, machine: Machine, reply: ClientResponse) -> None:
         """The answer to a command is the worker's report."""
         try:
             report = protocol.parse_report(reply.body)
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -9,8 +9,8 @@
 from petrelthread import protocol
 from petrelthread.fleet.command_planner import Commands
 from petrelthread.fleet.registry import Fleet
-from petrelthread.http import Response, answer
-from petrelthread.http.server import refusal
+from petrelthread.http import Response, json_response
+from petrelthread.http.server import error_response
 from petrelthread.leadership import Election, Role
 
 log = logging.getLogger(__name__)
@@ -49,7 +49,7 @@
         try:
             report = protocol.parse_report(body)
         except protocol.BadRequest as error:
-            return refusal(400, str(error))
+            return error_response(400, str(error))
         now = asyncio.get_running_loop().time()
         self._came_at.append(now)
         self.recent(now)
@@ -59,11 +59,13 @@
             home = election.home
             if home == self._node:
                 home = None
-            return answer(421, protocol.go_to(home))
+            return json_response(421, protocol.go_to(home))
         if self._lease_must_end(report, now):
-            return refusal(503, "a late start may still reach this machine: its lease must end")
+            return error_response(
+                503, "a late start may still reach this machine: its lease must end"
+            )
         if election.role is Role.TAKING_OVER:
-            return answer(
+            return json_response(
                 200, protocol.checkin_answer(election.token, self._commands.halts(report))
             )
         machine = self._fleet.on_report(report, now, answered=True)
@@ -73,7 +75,7 @@
             orders = self._commands.for_report(machine, report, now, election.starting)
         else:
             orders = []
-        return answer(200, protocol.checkin_answer(election.token, orders))
+        return json_response(200, protocol.checkin_answer(election.token, orders))
 
     def _lease_must_end(self, report: protocol.Report, now: float) -> bool:
         """Whether an answer might keep a start executable that was cancelled too long ago."""
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -11,7 +11,7 @@
 from petrelthread import protocol
 from petrelthread.fleet import Commands, Dispatch, Fleet, Machine, SilenceWatch
 from petrelthread.fleet.command_dispatcher import READ_AT_ONCE, READ_WHEN_LATE
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.state import Attempt, ClusterState, Interners, Job, Op, move
 from tests.virtual import play
 from tests.world import job
@@ -48,12 +48,12 @@
 
     async def request(
         self, addr: str, method: str, target: str, body: Any, timeout: float
-    ) -> Reply:
+    ) -> ClientResponse:
         self.asked.append(addr)
         if addr == "host-2":
             await asyncio.sleep(timeout)
-            raise NoAnswer("timeout", True)
-        return Reply(409, b"{}")
+            raise NoResponseError("timeout", True)
+        return ClientResponse(409, b"{}")
 
 
 def test_a_machine_that_does_not_answer_holds_up_no_other() -> None:
@@ -107,9 +107,9 @@
 
     async def request(
         addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-    ) -> Reply:
+    ) -> ClientResponse:
         asked.append(addr)
-        raise NoAnswer("refused", False)
+        raise NoResponseError("refused", False)
 
     async def main() -> None:
         fleet = Fleet(ClusterState(Interners(["red"], ["a"])), 10.0, 1.0, 20.0)
@@ -135,10 +135,12 @@
 
     async def request(
         self, addr: str, method: str, target: str, body: Any, timeout: float
-    ) -> Reply:
+    ) -> ClientResponse:
         self.asked.append(addr)
         await asyncio.sleep(1.0)
-        return Reply(200, orjson.dumps({"perch": addr, "flight": 1, "tick": 9, "baton": EPOCH}))
+        return ClientResponse(
+            200, orjson.dumps({"perch": addr, "flight": 1, "tick": 9, "baton": EPOCH})
+        )
 
 
 @pytest.mark.parametrize("deposed", [False, True])
--- a/petrelthread/http/__init__.py
+++ b/petrelthread/http/__init__.py
@@ -1,18 +1,18 @@
 """HTTP/1.1 over asyncio streams, spoken with h11."""
 
-from petrelthread.http.client import Client, NoAnswer, Reply
-from petrelthread.http.load_shedder import TurnGate
-from petrelthread.http.server import Response, Server, answer
-from petrelthread.http.sockets import Sockets, share_out
+from petrelthread.http.client import Client, ClientResponse, NoResponseError
+from petrelthread.http.load_shedder import LoadShedder
+from petrelthread.http.server import Response, Server, json_response
+from petrelthread.http.sockets import SocketBudget, divide_sockets
 
 __all__ = [
     "Client",
-    "NoAnswer",
-    "Reply",
+    "ClientResponse",
+    "LoadShedder",
+    "NoResponseError",
     "Response",
     "Server",
-    "Sockets",
-    "TurnGate",
-    "answer",
-    "share_out",
+    "SocketBudget",
+    "divide_sockets",
+    "json_response",
 ]
--- a/petrelthread/http/client.py
+++ b/petrelthread/http/client.py
@@ -10,20 +10,20 @@
 
 from petrelthread.settings import split_addr
 
-KEPT_PER_ADDR = 4
-KEPT_S = 30.0
-SOCKETS = 64
+MAX_IDLE_PER_ADDRESS = 4
+IDLE_TIMEOUT_S = 30.0
+DEFAULT_MAX_SOCKETS = 64
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """No usable answer came. ``sent`` is False only if the request surely never left."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
-        self.sent = sent
+        self.request_sent = sent
 
 
-class Reply(NamedTuple):
+class ClientResponse(NamedTuple):
     status: int
     body: bytes
 
@@ -35,7 +35,9 @@
         self.h11 = h11.Connection(h11.CLIENT)
         self.idle_since = 0.0
 
-    async def exchange(self, method: str, target: str, host: str, body: bytes | None) -> Reply:
+    async def exchange(
+        self, method: str, target: str, host: str, body: bytes | None
+    ) -> ClientResponse:
         headers = [("Host", host), ("Content-Length", str(len(body or b"")))]
         if body:
             headers.append(("Content-Type", "application/json"))
@@ -57,7 +59,7 @@
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                return Reply(status, b"".join(parts))
+                return ClientResponse(status, b"".join(parts))
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionError("closed before the response")
 
@@ -72,16 +74,16 @@
     the others at work waits within its own time limit.
     """
 
-    def __init__(self, sockets: int = SOCKETS) -> None:
+    def __init__(self, sockets: int = DEFAULT_MAX_SOCKETS) -> None:
         self._idle: dict[str, list[_Connection]] = {}
         self._kept_most = sockets // 2
         self._kept = 0
-        self.at_once = max(1, sockets - self._kept_most)
-        self._room = asyncio.Semaphore(self.at_once)
+        self.max_concurrent = max(1, sockets - self._kept_most)
+        self._room = asyncio.Semaphore(self.max_concurrent)
 
     async def request(
         self, addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-    ) -> Reply:
+    ) -> ClientResponse:
         sent = False
         conn: _Connection | None = None
         data = None if body is None else orjson.dumps(body)
@@ -97,7 +99,7 @@
             if conn is not None:
                 conn.abort()
             if isinstance(error, OSError | TimeoutError | h11.ProtocolError | ValueError):
-                raise NoAnswer(f"{type(error).__name__}: {error}", sent) from None
+                raise NoResponseError(f"{type(error).__name__}: {error}", sent) from None
             raise
         self._keep(addr, conn)
         return reply
@@ -108,7 +110,7 @@
         while pool:
             conn = pool.pop()
             self._kept -= 1
-            fresh = now - conn.idle_since < KEPT_S
+            fresh = now - conn.idle_since < IDLE_TIMEOUT_S
             if fresh and not conn.reader.at_eof() and not conn.writer.is_closing():
                 return conn
             conn.abort()
@@ -116,7 +118,7 @@
 
     def _keep(self, addr: str, conn: _Connection) -> None:
         done = conn.h11.our_state is h11.DONE and conn.h11.their_state is h11.DONE
-        if not done or len(self._idle.get(addr, ())) >= KEPT_PER_ADDR:
+        if not done or len(self._idle.get(addr, ())) >= MAX_IDLE_PER_ADDRESS:
             conn.abort()
             return
         if self._kept >= self._kept_most:
@@ -131,13 +133,13 @@
         min(pools, key=lambda pool: pool[0].idle_since).pop(0).abort()
         self._kept -= 1
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Close connections nobody used for a while; called now and then."""
         now = asyncio.get_running_loop().time()
         for addr, pool in list(self._idle.items()):
             kept = []
             for conn in pool:
-                if now - conn.idle_since < KEPT_S and not conn.reader.at_eof():
+                if now - conn.idle_since < IDLE_TIMEOUT_S and not conn.reader.at_eof():
                     kept.append(conn)
                 else:
                     conn.abort()
--- a/petrelthread/http/server.py
+++ b/petrelthread/http/server.py
@@ -12,21 +12,21 @@
 import h11
 import orjson
 
-from petrelthread.http.load_shedder import Kind, Turn, TurnGate
+from petrelthread.http.load_shedder import Admission, LoadShedder, RequestSource
 from petrelthread.protocol import CHECKIN_PATH, MAX_BODY
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 75.0
-BODY_S = 10.0
-LINE_MOST = 8 * 1024
-STALE_S = 15.0
-BACKLOG = 8192  # connections that may wait to be accepted; the kernel may allow fewer
-ACCEPTED_AT_ONCE = 32  # in one turn of the event loop
-REPORT_BEGINS = f"POST {CHECKIN_PATH} ".encode()
-HEAD_MOST = 16 * 1024  # bytes of a request's head
-HEADS_KEPT = 512  # heads of responses, by status and length
-READ_AHEAD = 128 * 1024  # bytes of a connection that may wait to be parsed
+IDLE_TIMEOUT_S = 75.0
+BODY_TIMEOUT_S = 10.0
+MAX_LINE_BYTES = 8 * 1024
+DEFAULT_STALE_AFTER_S = 15.0
+LISTEN_BACKLOG = 8192  # connections that may wait to be accepted; the kernel may allow fewer
+MAX_ACCEPTS_PER_TURN = 32  # in one turn of the event loop
+WORKER_REQUEST_PREFIX = f"POST {CHECKIN_PATH} ".encode()
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a request's head
+CACHED_HEADS = 512  # heads of responses, by status and length
+READ_BUFFER_BYTES = 128 * 1024  # bytes of a connection that may wait to be parsed
 
 
 class Response(NamedTuple):
@@ -38,16 +38,16 @@
 Handler = Callable[[str, str, bytes], Awaitable[Response]]
 
 
-def answer(status: int, body: Any, retry_after_s: int | None = None) -> Response:
+def json_response(status: int, body: Any, retry_after_s: int | None = None) -> Response:
     return Response(status, orjson.dumps(body), retry_after_s)
 
 
-def refusal(status: int, reason: str, retry_after_s: int | None = None) -> Response:
-    return answer(status, {"error": reason}, retry_after_s)
+def error_response(status: int, reason: str, retry_after_s: int | None = None) -> Response:
+    return json_response(status, {"error": reason}, retry_after_s)
 
 
 def _new_connection() -> h11.Connection:
-    return h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
+    return h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
 
 
 def _head(response: Response, close: bool) -> bytes:
@@ -55,7 +55,7 @@
     return _head_bytes(response.status, len(response.body), response.retry_after_s, close)
 
 
-@lru_cache(maxsize=HEADS_KEPT)
+@lru_cache(maxsize=CACHED_HEADS)
 def _head_bytes(status: int, length: int, retry_after_s: int | None, close: bool) -> bytes:
     """Written by h11 once for each kind of response: to write each anew took a third of the time
     that a worker's report costs in h11."""
@@ -67,16 +67,16 @@
     return _new_connection().send(h11.Response(status_code=status, headers=headers)) or b""
 
 
-BUSY_RETRY_S = 2
-BUSY = refusal(503, "too many requests wait here", BUSY_RETRY_S)
+OVERLOADED_RETRY_S = 2
+OVERLOADED = error_response(503, "too many requests wait here", OVERLOADED_RETRY_S)
 
 
-class _TooLarge(Exception):
+class _BodyTooLargeError(Exception):
     pass
 
 
-def _kind_of(data: bytes) -> Kind:
-    return Kind.WORKER if data.startswith(REPORT_BEGINS) else Kind.USER
+def _request_source(data: bytes) -> RequestSource:
+    return RequestSource.WORKER if data.startswith(WORKER_REQUEST_PREFIX) else RequestSource.USER
 
 
 class Server:
@@ -91,12 +91,12 @@
         self,
         handler: Handler,
         room: int,
-        stale_s: float = STALE_S,
-        gate: TurnGate | None = None,
+        stale_s: float = DEFAULT_STALE_AFTER_S,
+        gate: LoadShedder | None = None,
     ) -> None:
         """``gate``: what keeps each turn of the event loop short; one of its own by default."""
         self._handler = handler
-        self._gate = gate or TurnGate()
+        self._load_shedder = gate or LoadShedder()
         self._room = room
         self._kept = max(1, room - max(1, room // 10))
         self._stale_s = stale_s
@@ -105,7 +105,7 @@
         self._waiting: dict[asyncio.StreamWriter, float] = {}
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         return self._open
 
     async def listen(self, host: str, port: int) -> asyncio.Server:
@@ -124,9 +124,9 @@
         # asyncio accepts as many connections in one go as its backlog is long: after a take-over
         # that kept the event loop busy for seconds. The kernel's own queue is another matter.
         server = await asyncio.start_server(
-            self._serve, sock=bound, limit=READ_AHEAD, backlog=ACCEPTED_AT_ONCE
+            self._serve, sock=bound, limit=READ_BUFFER_BYTES, backlog=MAX_ACCEPTS_PER_TURN
         )
-        bound.listen(BACKLOG)
+        bound.listen(LISTEN_BACKLOG)
         return server
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -137,7 +137,7 @@
             if self._open <= self._room:
                 await self._requests(reader, writer)
             else:
-                self._gate.note_refused()
+                self._load_shedder.record_refused_connection()
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
         except Exception:
@@ -161,24 +161,24 @@
         while True:
             try:
                 self._waiting[writer] = loop.time()
-                async with asyncio.timeout(IDLE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     event = await self._next(conn, reader, writer, begins=True)
                 self._waiting.pop(writer, None)
                 if not isinstance(event, h11.Request):
                     return
                 # h11 bounds only what is still incomplete, and takes any version number.
-                if len(event.target) > LINE_MOST:
+                if len(event.target) > MAX_LINE_BYTES:
                     raise h11.RemoteProtocolError("line too long")
                 if event.http_version not in (b"1.0", b"1.1"):
                     raise h11.RemoteProtocolError("version not supported")
-                async with asyncio.timeout(BODY_S):
+                async with asyncio.timeout(BODY_TIMEOUT_S):
                     body = await self._body(conn, reader, writer)
             except h11.RemoteProtocolError as error:
                 if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                     self._refuse(writer, f"bad HTTP: {error}")
                     await writer.drain()
                 return
-            except _TooLarge:
+            except _BodyTooLargeError:
                 # 400 rather than 413: users retry every status that the protocol does not list.
                 self._refuse(writer, "body over 64 KiB")
                 await writer.drain()
@@ -189,7 +189,7 @@
                 response = await self._handler(method, target, body)
             except Exception:
                 log.exception("request handler failed")
-                response = refusal(503, "internal trouble", 1)
+                response = error_response(503, "internal trouble", 1)
             # The request asked for the connection to be closed, or we do.
             close = conn.their_state is not h11.DONE or self._open > self._kept
             head_only = event.method == b"HEAD"
@@ -222,13 +222,13 @@
             if begins and data:
                 begins = False
                 self._waiting.pop(writer, None)  # not silent: it is we who take our time
-                kind = _kind_of(data)
-                turn = await self._gate.turn(kind)
-                if turn is Turn.TURNED_AWAY:
-                    if kind is Kind.USER:
-                        writer.write(_head(BUSY, close=True) + BUSY.body)
+                kind = _request_source(data)
+                turn = await self._load_shedder.admit(kind)
+                if turn is Admission.SHED:
+                    if kind is RequestSource.USER:
+                        writer.write(_head(OVERLOADED, close=True) + OVERLOADED.body)
                     return h11.ConnectionClosed()
-                if turn is Turn.HELD_BACK and (reader.at_eof() or writer.is_closing()):
+                if turn is Admission.DELAYED and (reader.at_eof() or writer.is_closing()):
                     return h11.ConnectionClosed()  # nobody waits for the answer any more
             conn.receive_data(data)
 
@@ -242,7 +242,7 @@
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > MAX_BODY:
-                    raise _TooLarge
+                    raise _BodyTooLargeError
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
@@ -251,5 +251,5 @@
 
     @staticmethod
     def _refuse(writer: asyncio.StreamWriter, reason: str) -> None:
-        response = refusal(400, reason)
+        response = error_response(400, reason)
         writer.write(_head(response, close=True) + response.body)
--- a/petrelthread/http/sockets.py
+++ b/petrelthread/http/sockets.py
@@ -9,21 +9,21 @@
 
 from typing import NamedTuple
 
-SPARE = 16  # files, listening sockets, connections that are just closing
-COMMANDS_SHARE = 0.1
-LEAST = 8
+RESERVED_SOCKETS = 16  # files, listening sockets, connections that are just closing
+COMMAND_SHARE = 0.1
+MIN_SOCKETS = 8
 
 
-class Sockets(NamedTuple):
+class SocketBudget(NamedTuple):
     public: int  # workers, users, health checks
     peers: int  # siblings and operators who come to us
-    duties: int  # ours to state service, cloud and siblings: nothing else can take these
+    outgoing: int  # ours to state service, cloud and siblings: nothing else can take these
     commands: int  # ours to workers, idle ones included
 
 
-def share_out(limit: int, siblings: int) -> Sockets:
-    limit = max(64, limit) - SPARE
-    duties = max(LEAST, min(40 + 2 * siblings, limit // 5))
-    peers = max(LEAST, min(8 + 2 * siblings, limit // 10))
-    commands = max(LEAST, int(limit * COMMANDS_SHARE))
-    return Sockets(limit - duties - peers - commands, peers, duties, commands)
+def divide_sockets(limit: int, siblings: int) -> SocketBudget:
+    limit = max(64, limit) - RESERVED_SOCKETS
+    duties = max(MIN_SOCKETS, min(40 + 2 * siblings, limit // 5))
+    peers = max(MIN_SOCKETS, min(8 + 2 * siblings, limit // 10))
+    commands = max(MIN_SOCKETS, int(limit * COMMAND_SHARE))
+    return SocketBudget(limit - duties - peers - commands, peers, duties, commands)
--- a/petrelthread/http/test_http.py
+++ b/petrelthread/http/test_http.py
@@ -7,13 +7,13 @@
 import orjson
 import pytest
 
-from petrelthread.http import Client, NoAnswer, Response, Server, answer
+from petrelthread.http import Client, NoResponseError, Response, Server, json_response
 
 
 async def echo(method: str, target: str, body: bytes) -> Response:
     if target == "/boom":
         raise RuntimeError("boom")
-    return answer(200, {"method": method, "target": target, "size": len(body)})
+    return json_response(200, {"method": method, "target": target, "size": len(body)})
 
 
 async def serving() -> tuple[asyncio.Server, str]:
@@ -75,13 +75,13 @@
 
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        with pytest.raises(NoAnswer) as lost:
+        with pytest.raises(NoResponseError) as lost:
             await Client().request(f"127.0.0.1:{port}", "GET", "/", timeout=0.2)
-        assert lost.value.sent
+        assert lost.value.request_sent
         server.close()
         await server.wait_closed()
-        with pytest.raises(NoAnswer) as refused:
+        with pytest.raises(NoResponseError) as refused:
             await Client().request(f"127.0.0.1:{port}", "GET", "/", timeout=0.5)
-        assert not refused.value.sent
+        assert not refused.value.request_sent
 
     asyncio.run(main())
--- a/petrelthread/http/test_load_shedder.py
+++ b/petrelthread/http/test_load_shedder.py
@@ -6,8 +6,14 @@
 
 import pytest
 
-from petrelthread.http import Response, Server, answer
-from petrelthread.http.load_shedder import USERS_EVERY, WAIT_MOST_S, Kind, Turn, TurnGate
+from petrelthread.http import Response, Server, json_response
+from petrelthread.http.load_shedder import (
+    MAX_WAIT_S,
+    USER_REQUEST_INTERVAL,
+    Admission,
+    LoadShedder,
+    RequestSource,
+)
 
 COST_S = 0.002  # of each request
 SPELL_S = 0.02
@@ -28,12 +34,12 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.gate = TurnGate(self.clock, SPELL_S)
+        self.gate = LoadShedder(self.clock, SPELL_S)
         self.turns = 0
-        self.served: list[tuple[int, Kind]] = []  # turn of the loop, and whose request
+        self.served: list[tuple[int, RequestSource]] = []  # turn of the loop, and whose request
 
-    async def request(self, kind: Kind) -> None:
-        if await self.gate.turn(kind) is Turn.TURNED_AWAY:
+    async def request(self, kind: RequestSource) -> None:
+        if await self.gate.admit(kind) is Admission.SHED:
             return
         self.clock.now += COST_S
         self.served.append((self.turns, kind))
@@ -44,7 +50,7 @@
             await asyncio.sleep(0)
 
 
-def play(load: Load, kinds: list[Kind]) -> None:
+def play(load: Load, kinds: list[RequestSource]) -> None:
     async def main() -> None:
         counting = asyncio.create_task(load.count_turns())
         await asyncio.gather(*(load.request(kind) for kind in kinds))
@@ -56,8 +62,8 @@
 @pytest.mark.parametrize("count", [1, 9, 200, 4000])
 def test_each_turn_of_the_loop_serves_for_a_bounded_time(count: int) -> None:
     load = Load()
-    play(load, [Kind.WORKER] * count)
-    assert len(load.served) + load.gate.turned_away == count
+    play(load, [RequestSource.WORKER] * count)
+    assert len(load.served) + load.gate.shed == count
     assert len(load.served) >= min(count, 1000)  # what can be served within the longest wait
     by_turn: dict[int, int] = {}
     for turn, _ in load.served:
@@ -70,17 +76,17 @@
 
 def test_workers_go_first_and_users_do_not_stand_still() -> None:
     load = Load()
-    play(load, [Kind.USER] * 100 + [Kind.WORKER] * 100)
+    play(load, [RequestSource.USER] * 100 + [RequestSource.WORKER] * 100)
     first = [kind for _, kind in load.served[20:80]]
-    users = first.count(Kind.USER) / len(first)
-    assert users == pytest.approx(1 / USERS_EVERY, abs=0.1)
+    users = first.count(RequestSource.USER) / len(first)
+    assert users == pytest.approx(1 / USER_REQUEST_INTERVAL, abs=0.1)
 
 
 def test_a_request_given_up_while_it_waits_holds_up_no_other() -> None:
     load = Load()
 
     async def main() -> None:
-        tasks = [asyncio.create_task(load.request(Kind.WORKER)) for _ in range(100)]
+        tasks = [asyncio.create_task(load.request(RequestSource.WORKER)) for _ in range(100)]
         await asyncio.sleep(0)
         for task in tasks[20:90]:
             task.cancel()
@@ -97,10 +103,10 @@
     waited: list[float] = []
     turned_away: list[float] = []
 
-    async def request(kind: Kind) -> None:
+    async def request(kind: RequestSource) -> None:
         came = load.clock.now
-        turn = await load.gate.turn(kind)
-        if turn is Turn.TURNED_AWAY:
+        turn = await load.gate.admit(kind)
+        if turn is Admission.SHED:
             turned_away.append(load.clock.now - came)
             return
         waited.append(load.clock.now - came)
@@ -111,31 +117,31 @@
         for _ in range(10_000 // 20):
             begun = load.clock.now
             for _ in range(20):
-                tasks.append(asyncio.create_task(request(Kind.WORKER)))
+                tasks.append(asyncio.create_task(request(RequestSource.WORKER)))
             while load.clock.now - begun < 20 * COST_S / 2:
                 load.clock.now += COST_S / 100
                 await asyncio.sleep(0)
         await asyncio.gather(*tasks)
 
     asyncio.run(main())
-    assert max(waited) <= WAIT_MOST_S + 3 * SPELL_S
+    assert max(waited) <= MAX_WAIT_S + 3 * SPELL_S
     assert len(waited) + len(turned_away) == 10_000
     assert len(waited) > 4000  # the processor is not spent on what is too late
-    assert load.gate.turned_away == len(turned_away) > 500
+    assert load.gate.shed == len(turned_away) > 500
 
 
-class FullGate(TurnGate):
+class FullGate(LoadShedder):
     """One at which everything has waited too long."""
 
-    async def turn(self, kind: Kind) -> Turn:
-        return Turn.TURNED_AWAY
+    async def admit(self, kind: RequestSource) -> Admission:
+        return Admission.SHED
 
 
 def test_a_user_who_is_turned_away_is_told_when_to_come_back() -> None:
     """A worker's connection is closed: it reports elsewhere, and loses no time to an answer."""
 
     async def fine(method: str, target: str, body: bytes) -> Response:
-        return answer(200, {})
+        return json_response(200, {})
 
     async def main() -> None:
         server = Server(fine, 20, gate=FullGate())
--- a/petrelthread/http/test_sockets.py
+++ b/petrelthread/http/test_sockets.py
@@ -7,7 +7,14 @@
 
 import pytest
 
-from petrelthread.http import Client, NoAnswer, Response, Server, answer, share_out
+from petrelthread.http import (
+    Client,
+    NoResponseError,
+    Response,
+    Server,
+    divide_sockets,
+    json_response,
+)
 
 # An address of this process alone. On 127.0.0.1 the counts were off by one beside other work on the
 # machine: a connection that was none of ours had found the port.
@@ -16,13 +23,13 @@
 
 
 async def fine(method: str, target: str, body: bytes) -> Response:
-    return answer(200, {"fine": True})
+    return json_response(200, {"fine": True})
 
 
 @pytest.mark.parametrize("limit", [64, 200, 1000, 1518, 1844])
 @pytest.mark.parametrize("siblings", [0, 2, 4])
 def test_all_shares_together_stay_within_the_limit(limit: int, siblings: int) -> None:
-    shares = share_out(limit, siblings)
+    shares = divide_sockets(limit, siblings)
     assert sum(shares) < limit
     assert min(shares) >= 8
     if limit >= 1500:  # 970 workers, and users beside them, keep their connections open
@@ -66,7 +73,7 @@
         heads = await asyncio.gather(*(w.ask() for w in more))
         assert all(b" 200 " in head and b"connection: close" in head for head in heads)
         await asyncio.sleep(0.1)
-        assert server.open == 360
+        assert server.open_connections == 360
         # Half of the workers die without a word; the others go on reporting.
         alive = kept[:180]
         for _ in range(4):
@@ -75,11 +82,11 @@
         fresh = await connect(port, 180)
         assert all(b" 200 " in head for head in await asyncio.gather(*(w.ask() for w in fresh)))
         assert all(b" 200 " in head for head in await asyncio.gather(*(w.ask() for w in alive)))
-        assert server.open <= room
+        assert server.open_connections <= room
         for wire in [*kept, *more, *fresh]:
             wire.writer.transport.abort()
         async with asyncio.timeout(5):
-            while server.open:
+            while server.open_connections:
                 await asyncio.sleep(0.01)
         listening.close()
 
@@ -128,7 +135,7 @@
             try:
                 reply = await client.request(f"127.0.0.{host}:{port}", "GET", "/", timeout=5.0)
                 assert reply.status == 200
-            except NoAnswer as error:
+            except NoResponseError as error:
                 raise AssertionError(str(error)) from None
 
         server = await asyncio.start_server(serve, "0.0.0.0", 0)
@@ -136,7 +143,7 @@
         client = Client(40)
         for _ in range(2):
             await asyncio.gather(*(one(host) for host in range(1, 201)))
-        client.sweep()
+        client.close_idle()
         server.close()
 
     asyncio.run(main())
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -11,21 +11,21 @@
 import orjson
 
 from petrelthread import protocol
-from petrelthread.http import Response, answer
-from petrelthread.http.server import refusal
+from petrelthread.http import Response, json_response
+from petrelthread.http.server import error_response
 from petrelthread.job_api.validation import CannotRun, NotYetKnown, TooLarge, check_runnable
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState, Job
 from petrelthread.store import (
-    ROOT,
-    Conflict,
-    NoSuchLease,
-    StateBusy,
+    KEY_PREFIX,
+    LeaseExpiredError,
     StateClient,
-    StateDown,
+    StateRateLimitedError,
+    StateUnavailableError,
+    TransactionConflictError,
     WatchCache,
 )
-from petrelthread.store import StateUnsure as Unsure
+from petrelthread.store import StateResultUnknownError as Unsure
 
 log = logging.getLogger(__name__)
 
@@ -57,17 +57,17 @@
     async def handle(self, method: str, path: str, body: bytes) -> Response:
         if path == protocol.JOBS_PATH:
             if method != "POST":
-                return refusal(405, "use POST")
+                return error_response(405, "use POST")
             return await self.submit(body)
         job_id = path[len(protocol.JOBS_PATH) + 1 :]
         if job_id.endswith(protocol.CANCEL_END):
             if method != "POST":
-                return refusal(405, "use POST")
+                return error_response(405, "use POST")
             return await self.cancel(job_id[: -len(protocol.CANCEL_END)])
         if "/" in job_id:
-            return refusal(404, "no such path")
+            return error_response(404, "no such path")
         if method != "GET":
-            return refusal(405, "use GET")
+            return error_response(405, "use GET")
         return await self.query(job_id)
 
     # ---- submit ----------------------------------------------------------------------------
@@ -76,7 +76,7 @@
         try:
             spec = protocol.parse_job(body)
         except protocol.BadRequest as error:
-            return refusal(400, str(error))
+            return error_response(400, str(error))
         if spec.name_id in self._cluster_state.by_id:
             # Accepted once, it is never judged again, whatever the repeat says.
             return await self._state_of(spec.name_id)
@@ -87,28 +87,28 @@
             check_runnable(spec, self._teams, self._machine_types())
         except (TooLarge, CannotRun, NotYetKnown) as error:
             # The watch cache may lag behind: an accepted job must never be told that it cannot run.
-            if not await self._watch_cache.fresh():
-                return refusal(503, "state service unreachable", OUTAGE_RETRY_S)
+            if not await self._watch_cache.refresh():
+                return error_response(503, "state service unreachable", OUTAGE_RETRY_S)
             if spec.name_id in self._cluster_state.by_id:
                 return await self._state_of(spec.name_id)
             if isinstance(error, TooLarge):
-                return refusal(400, str(error))
+                return error_response(400, str(error))
             if isinstance(error, NotYetKnown):
-                return refusal(503, str(error), RETRY_S)
-            return refusal(422, str(error))
+                return error_response(503, str(error), RETRY_S)
+            return error_response(422, str(error))
         if not self._watch_cache.loaded.is_set():
-            return refusal(503, "still reading the state", RETRY_S)
+            return error_response(503, "still reading the state", RETRY_S)
         now = asyncio.get_running_loop().time()
-        writes = self._client.writes
-        wait_s = max(writes.wait_s(now), 0.0) + len(self._queue) / writes.rate
+        writes = self._client.write_bucket
+        wait_s = max(writes.wait_time_s(now), 0.0) + len(self._queue) / writes.rate
         if wait_s > QUEUE_MOST_S:
-            return refusal(429, "too many submissions", max(1, round(wait_s)))
+            return error_response(429, "too many submissions", max(1, round(wait_s)))
         status = await self._create(spec, value)
         if status == 201:
-            return answer(201, protocol.job_answer(spec.name_id, protocol.QUEUED))
+            return json_response(201, protocol.job_answer(spec.name_id, protocol.QUEUED))
         if status == 200:
             return await self._state_of(spec.name_id)
-        return refusal(503, "state service unreachable", OUTAGE_RETRY_S)
+        return error_response(503, "state service unreachable", OUTAGE_RETRY_S)
 
     async def _create(self, spec: protocol.JobSpec, value: list[Any]) -> int:
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -135,7 +135,7 @@
         tries, busy = 3, 0
         while batch and tries:
             tries -= 1
-            keys = [f"{ROOT}j/{spec.name_id}" for spec, _, _ in batch]
+            keys = [f"{KEY_PREFIX}j/{spec.name_id}" for spec, _, _ in batch]
             conditions = [protocol.when(key, 0) for key in dict.fromkeys(keys)]
             ops = [protocol.put(key, value) for key, (_, value, _) in zip(keys, batch, strict=True)]
             if len(conditions) < len(batch):  # the same job twice in one batch: one at a time
@@ -143,17 +143,17 @@
                     await self._commit([entry])
                 return
             try:
-                await self._client.multi(conditions, ops)
-            except Conflict as conflict:
+                await self._client.transact(conditions, ops)
+            except TransactionConflictError as conflict:
                 kept = []
                 for key, entry in zip(keys, batch, strict=True):
-                    if key in conflict.failed:
+                    if key in conflict.failed_keys:
                         self._resolve(entry, 200)
                     else:
                         kept.append(entry)
                 batch = kept
                 continue
-            except StateBusy:
+            except StateRateLimitedError:
                 # All controllers' shares together may exceed the service's burst for a moment. A
                 # user sent away for that came back only after the time that the users expect.
                 busy += 1
@@ -162,7 +162,7 @@
                 tries += 1
                 await asyncio.sleep(BUSY_S)
                 continue
-            except (StateDown, Unsure, NoSuchLease) as error:
+            except (StateUnavailableError, Unsure, LeaseExpiredError) as error:
                 log.debug("submission not written: %s", error)
                 break
             for entry in batch:
@@ -182,44 +182,44 @@
 
     async def query(self, job_id: str) -> Response:
         if not protocol.JOB_ID.match(job_id):
-            return refusal(404, "no such job")
+            return error_response(404, "no such job")
         return await self._state_of(job_id)
 
     async def _state_of(self, job_id: str) -> Response:
         job = self._cluster_state.by_id.get(job_id)
         if job is None or job.final is None:  # final states never change: no need to look again
-            if not await self._watch_cache.fresh():
-                return refusal(503, "state service unreachable", OUTAGE_RETRY_S)
+            if not await self._watch_cache.refresh():
+                return error_response(503, "state service unreachable", OUTAGE_RETRY_S)
             job = self._cluster_state.by_id.get(job_id)
         if job is None:
-            return refusal(404, "no such job")
+            return error_response(404, "no such job")
         running = 0 if job.final is not None else len(job.live)
-        return answer(200, protocol.job_answer(job_id, job.status, job.done, running))
+        return json_response(200, protocol.job_answer(job_id, job.status, job.done, running))
 
     async def cancel(self, job_id: str) -> Response:
         if not protocol.JOB_ID.match(job_id):
-            return refusal(404, "no such job")
+            return error_response(404, "no such job")
         current = await self._state_of(job_id)
         job = self._cluster_state.by_id.get(job_id)
         if current.status != 200 or job is None:
             return current
         if job.final is None:
-            key = f"{ROOT}f/{job_id}"
+            key = f"{KEY_PREFIX}f/{job_id}"
             try:
-                await self._client.multi(
+                await self._client.transact(
                     [protocol.when(key, 0)], [protocol.put(key, protocol.ABORTED)]
                 )
-            except Conflict:
+            except TransactionConflictError:
                 return await self._final_of(job)
-            except (StateDown, Unsure, NoSuchLease) as error:
+            except (StateUnavailableError, Unsure, LeaseExpiredError) as error:
                 log.debug("cancellation not written: %s", error)
-                return refusal(503, "state service unreachable", OUTAGE_RETRY_S)
+                return error_response(503, "state service unreachable", OUTAGE_RETRY_S)
             self._cluster_state.finish(job_id, protocol.ABORTED)
-        return answer(200, protocol.job_answer(job_id, job.status))
+        return json_response(200, protocol.job_answer(job_id, job.status))
 
     async def _final_of(self, job: Job) -> Response:
         if job.final is None:
-            await self._watch_cache.fresh()
+            await self._watch_cache.refresh()
         if job.final is None:
-            return refusal(503, "state service unreachable", OUTAGE_RETRY_S)
-        return answer(200, protocol.job_answer(job.id, job.status))
+            return error_response(503, "state service unreachable", OUTAGE_RETRY_S)
+        return json_response(200, protocol.job_answer(job.id, job.status))
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -12,13 +12,13 @@
 from petrelthread import protocol
 from petrelthread.leadership.fence import Fence
 from petrelthread.store import (
-    ROOT,
-    Conflict,
-    NoSuchLease,
+    KEY_PREFIX,
+    LeaseExpiredError,
     StateClient,
-    StateDown,
-    StateRefused,
-    StateUnsure,
+    StateRejectedError,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TransactionConflictError,
     WatchCache,
 )
 
@@ -115,7 +115,7 @@
     @property
     def starting(self) -> bool:
         """May tell workers to start something: it knows what was cancelled until a moment ago."""
-        return self.leading and self._now() < self._watch_cache.last_ok + LIFE_S
+        return self.leading and self._now() < self._watch_cache.current_as_of + LIFE_S
 
     @property
     def home(self) -> str | None:
@@ -126,8 +126,8 @@
         if self.role not in (Role.TAKING_OVER, Role.LEADING):
             return None
         conditions = [
-            protocol.when(ROOT + "lead", self._fence_stamp),
-            protocol.when(ROOT + "epoch", self._fence_stamp),
+            protocol.when(KEY_PREFIX + "lead", self._fence_stamp),
+            protocol.when(KEY_PREFIX + "epoch", self._fence_stamp),
         ]
         return Fence(self.epoch, conditions)
 
@@ -144,7 +144,7 @@
         watch may have stood still, or its answers been lost, while renewals went through. Whatever
         is not known here was cancelled after the newest complete read.
         """
-        return min(self._renewed_at, self._watch_cache.last_ok) + self._hold_over_s
+        return min(self._renewed_at, self._watch_cache.current_as_of) + self._hold_over_s
 
     # ---- what others show --------------------------------------------------------------------
 
@@ -191,8 +191,8 @@
 
     async def _revoke(self, lease: int) -> bool:
         try:
-            await self._client.revoke(lease)
-        except (StateDown, StateUnsure):
+            await self._client.revoke_lease(lease)
+        except (StateUnavailableError, StateResultUnknownError):
             return False
         return True
 
@@ -202,7 +202,7 @@
         while True:
             try:
                 delay = await self._step()
-            except (StateDown, StateUnsure) as error:
+            except (StateUnavailableError, StateResultUnknownError) as error:
                 log.debug("leadership: state service: %s", error)
                 delay = 0.3
             self.wake.clear()
@@ -223,10 +223,10 @@
                 # An earlier life of this very node: it is dead, its lease need not run out.
                 log.info("leadership: ending the lease of an earlier life of this node")
                 await self._revoke(int(self.leader["lease"]))
-                await self._watch_cache.fresh()
+                await self._watch_cache.refresh()
             return 0.2
         await asyncio.sleep(self._random.uniform(0.0, 0.15))
-        if not await self._watch_cache.fresh() or self.leader is not None:
+        if not await self._watch_cache.refresh() or self.leader is not None:
             return 0.2
         await self._campaign()
         return 0.05
@@ -235,29 +235,32 @@
         self._move(Role.CANDIDATE, "there is no leader")
         started = self._now()
         try:
-            lease = await self._client.grant(LIFE_S)
-        except (StateDown, StateUnsure):
+            lease = await self._client.grant_lease(LIFE_S)
+        except (StateUnavailableError, StateResultUnknownError):
             self._move(Role.FOLLOWER, "no lease to be had")
             raise
         epoch = self._stored_epoch + 1
         self._nonce = f"{self._node}-{self._random.getrandbits(64):016x}"
         value = {"node": self._node, "nonce": self._nonce, "epoch": epoch, "lease": lease}
         conditions = [
-            protocol.when(ROOT + "lead", 0),
-            protocol.when(ROOT + "epoch", self._stored_epoch_stamp),
+            protocol.when(KEY_PREFIX + "lead", 0),
+            protocol.when(KEY_PREFIX + "epoch", self._stored_epoch_stamp),
+        ]
+        ops = [
+            protocol.put(KEY_PREFIX + "lead", value, lease),
+            protocol.put(KEY_PREFIX + "epoch", epoch),
         ]
-        ops = [protocol.put(ROOT + "lead", value, lease), protocol.put(ROOT + "epoch", epoch)]
         try:
-            stamp = await self._client.multi(conditions, ops)
-        except (Conflict, NoSuchLease, StateDown) as error:
+            stamp = await self._client.transact(conditions, ops)
+        except (TransactionConflictError, LeaseExpiredError, StateUnavailableError) as error:
             self._move(Role.FOLLOWER, f"not elected: {error}")
             await self._revoke(lease)
             return
-        except StateUnsure:
+        except StateResultUnknownError:
             stamp = 0
-            if await self._watch_cache.fresh() and self.leader is not None:
+            if await self._watch_cache.refresh() and self.leader is not None:
                 mine = self.leader["nonce"] == self._nonce
-                stamp = self._watch_cache.stamps["lead"] if mine else 0
+                stamp = self._watch_cache.revisions["lead"] if mine else 0
             if not stamp:
                 # The transaction may come late. Without its lease it cannot be applied.
                 self._move(Role.FOLLOWER, "election unanswered")
@@ -279,7 +282,7 @@
 
     async def _take_over(self) -> None:
         while self.role is Role.TAKING_OVER:
-            if await self._watch_cache.fresh():
+            if await self._watch_cache.refresh():
                 break
             await asyncio.sleep(0.2)
         if self.role is Role.TAKING_OVER:
@@ -311,20 +314,23 @@
         if fence is None or lease is None:
             return True
         value = {"node": self._node, "nonce": self._nonce, "epoch": token, "lease": lease}
-        ops = [protocol.put(ROOT + "lead", value, lease), protocol.put(ROOT + "epoch", token)]
+        ops = [
+            protocol.put(KEY_PREFIX + "lead", value, lease),
+            protocol.put(KEY_PREFIX + "epoch", token),
+        ]
         try:
-            stamp = await self._client.multi(fence.conditions, ops)
-        except StateRefused as error:
+            stamp = await self._client.transact(fence.conditions, ops)
+        except StateRejectedError as error:
             log.error("leadership: token %d: %s", token, error)
             self._raising_to = 0
             return True
-        except (StateUnsure, StateDown) as error:
+        except (StateResultUnknownError, StateUnavailableError) as error:
             log.debug("leadership: token %d not written yet: %s", token, error)
-            await self._watch_cache.fresh()
+            await self._watch_cache.refresh()
             return self.token >= token
-        except (Conflict, NoSuchLease):
+        except (TransactionConflictError, LeaseExpiredError):
             # An earlier copy counts, or this node leads no more: the keys say which.
-            if not await self._watch_cache.fresh():
+            if not await self._watch_cache.refresh():
                 return False
             self._raising_to = 0
             self.saw_epoch(self.known_epoch)
@@ -348,23 +354,23 @@
         assert self._lease is not None
         lease, started = self._lease, self._now()
         try:
-            await self._client.extend(lease, timeout=0.9)
+            await self._client.renew_lease(lease, timeout=0.9)
             if self.role in ACTING and lease == self._lease:
                 self._renewed_at = started
                 if self.role is Role.HOLDING_OVER and self._caught_up:
                     # What others wrote meanwhile has to be read before anything is commanded.
-                    if await self._watch_cache.fresh() and self.role is Role.HOLDING_OVER:
+                    if await self._watch_cache.refresh() and self.role is Role.HOLDING_OVER:
                         self._move(Role.LEADING, "lease renewed after all")
                 elif self.role is Role.HOLDING_OVER:
                     # The outage came in the middle of the take-over: it has to be done again.
                     self._move(Role.TAKING_OVER, "lease renewed after all")
                     asyncio.create_task(self._take_over())
             return RENEW_S
-        except NoSuchLease:
+        except LeaseExpiredError:
             if self.role in ACTING and lease == self._lease:
                 self._step_down("the lease has ended")
             return 0.05
-        except (StateDown, StateUnsure) as error:
+        except (StateUnavailableError, StateResultUnknownError) as error:
             now = self._now()
             if self.role in ACTING and now > self._lease_end():
                 if now > self._hold_over_end():
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -9,8 +9,8 @@
 import msgspec
 import orjson
 
-from petrelthread.http import NoAnswer, Response, answer
-from petrelthread.http.server import refusal
+from petrelthread.http import NoResponseError, Response, json_response
+from petrelthread.http.server import error_response
 from petrelthread.settings import Sibling
 from petrelthread.store import Request
 
@@ -65,14 +65,14 @@
 
     async def handle(self, method: str, body: bytes) -> Response:
         if method != "POST":
-            return refusal(405, "use POST")
+            return error_response(405, "use POST")
         try:
             heartbeat = msgspec.convert(orjson.loads(body), Heartbeat)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
-            return refusal(400, str(error))
+            return error_response(400, str(error))
         self.take(heartbeat)
         mine = msgspec.structs.replace(self._mine(), lends=self._lend(heartbeat))
-        return answer(200, msgspec.to_builtins(mine))
+        return json_response(200, msgspec.to_builtins(mine))
 
     async def run(self) -> None:
         await asyncio.gather(*(self._greet(sibling) for sibling in self._siblings))
@@ -89,6 +89,6 @@
                     heartbeat = msgspec.convert(orjson.loads(reply.body), Heartbeat)
                     self.take(heartbeat)
                     self._took(heartbeat.node, heartbeat.lends, asked_at)
-            except (NoAnswer, orjson.JSONDecodeError, msgspec.ValidationError) as error:
+            except (NoResponseError, orjson.JSONDecodeError, msgspec.ValidationError) as error:
                 log.debug("sibling %s: %s", sibling.host_name, error)
             await asyncio.sleep(EVERY_S)
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -8,14 +8,14 @@
 import orjson
 import pytest
 
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.peers import Heartbeat, Heartbeats
 from petrelthread.settings import Sibling
 from tests.virtual import play
 
 
-async def nobody(*args: Any, **kwargs: Any) -> Reply:
-    raise NoAnswer("refused", sent=False)
+async def nobody(*args: Any, **kwargs: Any) -> ClientResponse:
+    raise NoResponseError("refused", sent=False)
 
 
 def heartbeats(heard: list[Heartbeat], request: Any = nobody) -> Heartbeats:
@@ -53,12 +53,16 @@
 
 
 def test_garbled_answers_and_refusals_do_not_end_the_greeting() -> None:
-    replies: list[Any] = [NoAnswer("refused", False), Reply(200, b"{"), Reply(200, b'{"node":1}')]
+    replies: list[Any] = [
+        NoResponseError("refused", False),
+        ClientResponse(200, b"{"),
+        ClientResponse(200, b'{"node":1}'),
+    ]
     heard: list[Heartbeat] = []
 
-    async def request(*args: Any, **kwargs: Any) -> Reply:
-        reply = replies.pop(0) if replies else Reply(200, b'{"node":"n1","epoch":9}')
-        if isinstance(reply, NoAnswer):
+    async def request(*args: Any, **kwargs: Any) -> ClientResponse:
+        reply = replies.pop(0) if replies else ClientResponse(200, b'{"node":"n1","epoch":9}')
+        if isinstance(reply, NoResponseError):
             raise reply
         return reply
 
--- a/petrelthread/provisioning/cloud.py
+++ b/petrelthread/provisioning/cloud.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from petrelthread import protocol
-from petrelthread.http import NoAnswer, Reply
-from petrelthread.store import Budget, Request
+from petrelthread.http import ClientResponse, NoResponseError
+from petrelthread.store import Request, TokenBucket
 
 T = TypeVar("T")
 
@@ -27,28 +27,28 @@
 
 
 class CloudClient:
-    def __init__(self, request: Request, addr: str, budget: Budget) -> None:
+    def __init__(self, request: Request, addr: str, budget: TokenBucket) -> None:
         self._request = request
         self._addr = addr
         self._budget = budget
 
     async def turn(self) -> None:
         """Wait until a call may be made, and count it."""
-        await self._budget.take()
+        await self._budget.acquire()
 
     def not_used(self) -> None:
         """The turn was not taken after all."""
-        self._budget.put_back()
+        self._budget.refund()
 
     async def _call(
         self, method: str, target: str, body: Any = None, timeout: float = 4.0, paid: bool = False
-    ) -> Reply:
+    ) -> ClientResponse:
         if not paid:
             await self.turn()
         try:
             reply = await self._request(self._addr, method, target, body, timeout=timeout)
-        except NoAnswer as error:
-            if error.sent:
+        except NoResponseError as error:
+            if error.request_sent:
                 raise CloudUnsure(str(error)) from None
             raise CloudDown(str(error)) from None
         if reply.status == 503 and b"no capacity" in reply.body:
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -26,7 +26,7 @@
 from petrelthread.scheduling.scheduler import Scheduler
 from petrelthread.settings import Settings
 from petrelthread.state import Claims, ClusterState, Op, Outcome, move
-from petrelthread.store import ROOT
+from petrelthread.store import KEY_PREFIX
 
 log = logging.getLogger(__name__)
 
@@ -409,7 +409,7 @@
         names = self._in_one_call(machines)
         key = f"x/{self._next()}"
         op = CloudOp(key, names, Op.AUTHORIZED)
-        outcome, _ = await self._claims.claim([protocol.put(ROOT + key, names)], key)
+        outcome, _ = await self._claims.claim([protocol.put(KEY_PREFIX + key, names)], key)
         if outcome is not Outcome.WON:
             return
         move(op, Op.DISPATCHING)
@@ -463,7 +463,7 @@
 
         Otherwise the next leader would count them as capacity that is about to boot.
         """
-        ops = [protocol.drop(ROOT + op.key)]
+        ops = [protocol.drop(KEY_PREFIX + op.key)]
         for rental in list(self.ops.values()):
             if rental.state is not Op.CONFIRMED or not rental.key.startswith("c/"):
                 continue
@@ -473,11 +473,11 @@
             rental.value = {**rental.value, "m": left}
             if left:
                 self._cluster_state.rentals[rental.key[2:]] = rental.value
-                ops.append(protocol.put(ROOT + rental.key, rental.value))
+                ops.append(protocol.put(KEY_PREFIX + rental.key, rental.value))
             else:
                 self.ops.pop(rental.key)
                 self._cluster_state.rentals.pop(rental.key[2:], None)
-                ops.append(protocol.drop(ROOT + rental.key))
+                ops.append(protocol.drop(KEY_PREFIX + rental.key))
         self.ops.pop(op.key, None)
         self._cluster_state.returns.pop(op.key[2:], None)
         most = self._settings.cluster.state.txn_ops
@@ -523,7 +523,7 @@
         }
         op = CloudOp(key, value, Op.AUTHORIZED)
         op.busy = True
-        outcome, _ = await self._claims.claim([protocol.put(ROOT + key, value)], key)
+        outcome, _ = await self._claims.claim([protocol.put(KEY_PREFIX + key, value)], key)
         if outcome is not Outcome.WON:
             return True
         move(op, Op.DISPATCHING)
@@ -585,6 +585,6 @@
         self._machines_of(op, op.value["m"], asyncio.get_running_loop().time())
         self._cluster_state.rentals[op.key[2:]] = op.value
         if got:
-            await self._claims.claim([protocol.put(ROOT + op.key, op.value)])
+            await self._claims.claim([protocol.put(KEY_PREFIX + op.key, op.value)])
         else:
             self._drop(op)
--- a/petrelthread/provisioning/test_cloud.py
+++ b/petrelthread/provisioning/test_cloud.py
@@ -9,9 +9,9 @@
 import orjson
 import pytest
 
-from petrelthread.http import Reply
+from petrelthread.http import ClientResponse
 from petrelthread.provisioning import CloudClient, CloudUnsure
-from petrelthread.store import Budget
+from petrelthread.store import TokenBucket
 
 PAGE = 500
 
@@ -38,7 +38,7 @@
 
     async def request(
         self, addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-    ) -> Reply:
+    ) -> ClientResponse:
         self.calls += 1
         assert self.calls < 100, "the list is read for ever"
         after = parse_qs(urlsplit(target).query).get("from", [""])[0]
@@ -50,10 +50,10 @@
         if self.calls >= 3 and self.fault == "same page again":
             rest = self.machines
         more = len(rest) > PAGE or self.fault in ("empty page", "same page again")
-        return Reply(200, orjson.dumps({"perches": rest[:PAGE], "more": more}))
+        return ClientResponse(200, orjson.dumps({"perches": rest[:PAGE], "more": more}))
 
     def client(self) -> CloudClient:
-        return CloudClient(self.request, "cloud:1", Budget(1e6, 1e6))
+        return CloudClient(self.request, "cloud:1", TokenBucket(1e6, 1e6))
 
 
 @pytest.mark.parametrize(("machines", "calls"), [(0, 1), (499, 1), (501, 2), (4000, 8), (8000, 16)])
--- a/petrelthread/provisioning/test_plan.py
+++ b/petrelthread/provisioning/test_plan.py
@@ -21,7 +21,7 @@
     in_turn,
     plan,
 )
-from petrelthread.store import Budget
+from petrelthread.store import TokenBucket
 from tests.virtual import play
 from tests.world import NODES, SMALL, World, job
 
@@ -195,10 +195,10 @@
 
 def test_clean_up_leaves_half_of_the_write_burst() -> None:
     # A round once waited 3 s for its write behind drops of settled records.
-    budget = Budget(8.0, 8.0)
-    assert budget.spare(0.0, 0.5) == 4
-    play(budget.take(5.0))
-    assert budget.spare(100.0, 0.5) == 0
+    budget = TokenBucket(8.0, 8.0)
+    assert budget.available(0.0, 0.5) == 4
+    play(budget.acquire(5.0))
+    assert budget.available(100.0, 0.5) == 0
 
 
 def test_calls_to_an_offer_that_came_short_are_not_made() -> None:
--- a/petrelthread/scheduling/round_claim.py
+++ b/petrelthread/scheduling/round_claim.py
@@ -11,7 +11,7 @@
 from petrelthread.scheduling.start_validator import Start, StartCheck
 from petrelthread.settings import State
 from petrelthread.state import FINISHED, STOPS, Attempt, ClusterState, Job, pack_done, pack_round
-from petrelthread.store import ROOT
+from petrelthread.store import KEY_PREFIX
 
 CONDITIONS = 4  # of a transaction, for each change that it may make
 FENCE = 3  # conditions that each claim has anyway: lead, epoch and its marker
@@ -110,13 +110,13 @@
         # One key says that a job is complete, and stands for all its tasks.
         claim.completed = completed[: max(1, self._ops_most - KEPT_FOR_STARTS)]
         for job in claim.completed:
-            claim.ops.append(protocol.put(f"{ROOT}f/{job.id}", protocol.DONE))
+            claim.ops.append(protocol.put(f"{KEY_PREFIX}f/{job.id}", protocol.DONE))
             claim.absent.append(f"f/{job.id}")
         if partly:
             claim.done_record, _ = pack_done(partly, self._value_most)
             claim.done_number = self._next_number()
             claim.marker = f"d/{claim.done_number}"
-            claim.ops.append(protocol.put(ROOT + claim.marker, claim.done_record))
+            claim.ops.append(protocol.put(KEY_PREFIX + claim.marker, claim.done_record))
 
     def _add_rounds(self, claim: RoundClaim, starts: list[Start]) -> None:
         admitted, _ = self._check.admit(starts)
@@ -131,7 +131,7 @@
         for record in records[:most]:
             number = self._next_number()
             claim.rounds.append((number, record))
-            claim.ops.append(protocol.put(f"{ROOT}r/{number}", record))
+            claim.ops.append(protocol.put(f"{KEY_PREFIX}r/{number}", record))
             claim.marker = claim.marker or f"r/{number}"
         recorded = _tasks_in(records[:most])
         claim.starts = [start for start in wanted if (start.job.id, start.task) in recorded]
@@ -157,7 +157,7 @@
         suspects = self._fleet.job_failures.new_suspects()
         for job_id in list(suspects)[: max(0, self._ops_most - len(claim.ops))]:
             claim.suspects[job_id] = suspects[job_id]
-            claim.ops.append(protocol.put(f"{ROOT}s/{job_id}", suspects[job_id]))
+            claim.ops.append(protocol.put(f"{KEY_PREFIX}s/{job_id}", suspects[job_id]))
 
     def _add_clean_up(self, claim: RoundClaim, now: float) -> None:
         """Settled records go only when the write rate has room to spare: a round that waits for its
@@ -172,7 +172,7 @@
         written = len(claim.ops)
         room = min(self._ops_most - written, self.spare_writes(now) - written)
         claim.dropped = dead[: max(0, room)]
-        claim.ops += [protocol.drop(ROOT + key) for key in claim.dropped]
+        claim.ops += [protocol.drop(KEY_PREFIX + key) for key in claim.dropped]
 
     def _while_wanted(self, placements: list[Start], absent: list[str]) -> tuple[list[Start], bool]:
         """Claim starts only of jobs that nobody has called off, as far as one claim can say.
--- a/petrelthread/state/claim_writer.py
+++ b/petrelthread/state/claim_writer.py
@@ -11,13 +11,13 @@
 from petrelthread import protocol
 from petrelthread.leadership.fence import Fence
 from petrelthread.store import (
-    ROOT,
-    Conflict,
-    NoSuchLease,
+    KEY_PREFIX,
+    LeaseExpiredError,
     StateClient,
-    StateDown,
-    StateRefused,
-    StateUnsure,
+    StateRejectedError,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TransactionConflictError,
 )
 
 log = logging.getLogger(__name__)
@@ -57,9 +57,9 @@
         marker: str | None = None,
         absent: tuple[str, ...] = (),
     ) -> tuple[Outcome, tuple[str, ...]]:
-        conditions = [protocol.when(ROOT + key, 0) for key in absent]
+        conditions = [protocol.when(KEY_PREFIX + key, 0) for key in absent]
         if marker is not None:
-            conditions.append(protocol.when(ROOT + marker, 0))
+            conditions.append(protocol.when(KEY_PREFIX + marker, 0))
         unsure = False
         asked = self._fence()
         async with self._lock:
@@ -68,23 +68,23 @@
                 if asked is None or fence is None or fence.epoch != asked.epoch:
                     return Outcome.FENCED, ()
                 try:
-                    await self._client.multi(fence.conditions + conditions, ops)
+                    await self._client.transact(fence.conditions + conditions, ops)
                     return Outcome.WON, ()
-                except Conflict as conflict:
-                    failed = tuple(key.removeprefix(ROOT) for key in conflict.failed)
+                except TransactionConflictError as conflict:
+                    failed = tuple(key.removeprefix(KEY_PREFIX) for key in conflict.failed_keys)
                     if unsure and marker is not None and marker in failed:
                         return Outcome.WON, ()
                     if any(key in ("lead", "epoch") for key in failed):
                         return Outcome.FENCED, failed
                     return Outcome.CLASHED, failed
-                except StateRefused as error:
+                except StateRejectedError as error:
                     # The same again would be refused for ever, and all else waits behind it. If an
                     # earlier copy counted, its records show, and nothing of it has been sent.
                     log.error("claim %s: %s", marker, error)
                     return Outcome.CLASHED, ()
-                except StateUnsure as error:
+                except StateResultUnknownError as error:
                     log.info("claim %s unanswered: %s", marker, error)
                     unsure = True
-                except (StateDown, NoSuchLease) as error:
+                except (StateUnavailableError, LeaseExpiredError) as error:
                     log.debug("claim %s refused: %s", marker, error)
                 await asyncio.sleep(0.15)
--- a/petrelthread/state/test_state.py
+++ b/petrelthread/state/test_state.py
@@ -10,7 +10,7 @@
 import pytest
 
 from petrelthread import protocol
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.leadership.fence import Fence
 from petrelthread.protocol import ABORTED, DONE, parse_job
 from petrelthread.state import (
@@ -26,7 +26,7 @@
     pack_done,
     pack_round,
 )
-from petrelthread.store import Budget, StateClient
+from petrelthread.store import StateClient, TokenBucket
 from tests.virtual import play
 from tests.world import job
 
@@ -151,12 +151,20 @@
     """Repeated unchanged it would be refused for ever, with every other claim behind it."""
     asked: list[str] = []
 
-    async def request(addr: str, method: str, target: str, body: Any, timeout: float) -> Reply:
+    async def request(
+        addr: str, method: str, target: str, body: Any, timeout: float
+    ) -> ClientResponse:
         asked.append(body["apply"][0]["put"])
-        return Reply(400, b'{"error":"value too large"}') if len(asked) == 1 else Reply(200, OK)
+        return (
+            ClientResponse(400, b'{"error":"value too large"}')
+            if len(asked) == 1
+            else ClientResponse(200, OK)
+        )
 
     async def main() -> None:
-        client = StateClient(request, "state:1", Budget(100.0, 100.0), Budget(100.0, 100.0))
+        client = StateClient(
+            request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0)
+        )
         claims = Claims(client, lambda: Fence(1, []))
         assert (await claims.claim([protocol.put("large", "x" * 9999)], "large"))[
             0
@@ -173,13 +181,17 @@
     fences = [Fence(1, [protocol.when("pt/lead", 7)])]
     sent: list[int] = []
 
-    async def request(addr: str, method: str, target: str, body: Any, timeout: float) -> Reply:
+    async def request(
+        addr: str, method: str, target: str, body: Any, timeout: float
+    ) -> ClientResponse:
         sent.append(body["when"][0]["stamp"])
         fences.append(Fence(2, [protocol.when("pt/lead", 9)]))
-        raise NoAnswer("timeout", True)
+        raise NoResponseError("timeout", True)
 
     async def main() -> None:
-        client = StateClient(request, "state:1", Budget(100.0, 100.0), Budget(100.0, 100.0))
+        client = StateClient(
+            request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0)
+        )
         claims = Claims(client, lambda: fences[-1])
         async with asyncio.timeout(5.0):
             outcome, _ = await claims.claim([protocol.put("pt/r/1", [])], "r/1")
--- a/petrelthread/store/__init__.py
+++ b/petrelthread/store/__init__.py
@@ -1,31 +1,31 @@
 """The state service: a client that keeps to its budgets, and a watch cache of our keys."""
 
 from petrelthread.store.client import (
-    Budget,
-    Conflict,
-    NoSuchLease,
+    LeaseExpiredError,
     Request,
-    StateBusy,
     StateClient,
-    StateDown,
-    StateRefused,
-    StateUnsure,
+    StateRateLimitedError,
+    StateRejectedError,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TokenBucket,
+    TransactionConflictError,
 )
-from petrelthread.store.watch_cache import ROOT, WatchCache
+from petrelthread.store.watch_cache import KEY_PREFIX, WatchCache
 from petrelthread.store.write_quota import WriteQuota
 from petrelthread.store.write_rates import WriteRates
 
 __all__ = [
-    "ROOT",
-    "Budget",
-    "Conflict",
-    "NoSuchLease",
+    "KEY_PREFIX",
+    "LeaseExpiredError",
     "Request",
-    "StateBusy",
     "StateClient",
-    "StateDown",
-    "StateRefused",
-    "StateUnsure",
+    "StateRateLimitedError",
+    "StateRejectedError",
+    "StateResultUnknownError",
+    "StateUnavailableError",
+    "TokenBucket",
+    "TransactionConflictError",
     "WatchCache",
     "WriteQuota",
     "WriteRates",
--- a/petrelthread/store/client.py
+++ b/petrelthread/store/client.py
@@ -10,45 +10,45 @@
 import msgspec
 
 from petrelthread import protocol
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 
-Request = Callable[..., Awaitable[Reply]]
+Request = Callable[..., Awaitable[ClientResponse]]
 T = TypeVar("T")
 
 
-class StateDown(Exception):
+class StateUnavailableError(Exception):
     """The request was surely not carried out: 503, 429, or it never left."""
 
 
-class StateBusy(StateDown):
+class StateRateLimitedError(StateUnavailableError):
     """Refused for its rate alone: others were a moment earlier. Worth another try at once."""
 
 
-class StateRefused(StateDown):
+class StateRejectedError(StateUnavailableError):
     """Never carried out as it stands: malformed, or beyond a limit. Not to be repeated unchanged"""
 
 
-class StateUnsure(Exception):
+class StateResultUnknownError(Exception):
     """The request may have been carried out, or may still be."""
 
 
-class Conflict(Exception):
+class TransactionConflictError(Exception):
     """A condition did not hold; nothing was applied."""
 
     def __init__(self, failed: tuple[str, ...]) -> None:
         super().__init__(f"conditions failed: {', '.join(failed)}")
-        self.failed = failed
+        self.failed_keys = failed
 
 
-class NoSuchLease(Exception):
+class LeaseExpiredError(Exception):
     """The lease is over."""
 
 
-SHORT_SHARE = 0.3
-FULL_SHARE = 0.8
+LOW_LEVEL_SHARE = 0.3
+FULL_LEVEL_SHARE = 0.8
 
 
-class Budget:
+class TokenBucket:
     """A token bucket. All controllers together must stay below the service's limits."""
 
     def __init__(self, rate: float, burst: float) -> None:
@@ -56,19 +56,19 @@
         self.burst = max(burst, 1.0)
         self._level = self.burst
         self._at: float | None = None
-        self.taken = 0.0  # in all
+        self.total_acquired = 0.0  # in all
 
     def _refill(self, now: float) -> None:
         if self._at is not None:
             self._level = min(self.burst, self._level + (now - self._at) * self.rate)
         self._at = now
 
-    async def take(self, amount: float = 1.0) -> None:
+    async def acquire(self, amount: float = 1.0) -> None:
         """Wait until there is room; large amounts go into debt rather than never pass."""
         loop = asyncio.get_running_loop()
         self._refill(loop.time())
         self._level -= amount
-        self.taken += amount
+        self.total_acquired += amount
         if self._level < 0:
             await asyncio.sleep(-self._level / self.rate)
 
@@ -76,26 +76,26 @@
         self._refill(now)  # what has come so far came at the old rate
         self.rate = rate
 
-    def put_back(self, amount: float = 1.0) -> None:
+    def refund(self, amount: float = 1.0) -> None:
         """Of what was taken, this was not used."""
         self._level = min(self.burst, self._level + amount)
 
-    def spare(self, now: float, keep_share: float) -> int:
+    def available(self, now: float, reserved_share: float) -> int:
         """How much may be taken now and still leave a share of the burst for what is urgent."""
         self._refill(now)
-        return max(0, int(self._level - self.burst * keep_share))
+        return max(0, int(self._level - self.burst * reserved_share))
 
-    def short(self, now: float) -> bool:
+    def is_low(self, now: float) -> bool:
         """Little is left: more than this rate is asked for."""
         self._refill(now)
-        return self._level < self.burst * SHORT_SHARE
+        return self._level < self.burst * LOW_LEVEL_SHARE
 
-    def full(self, now: float) -> bool:
+    def is_full(self, now: float) -> bool:
         """Next to nothing was asked for lately."""
         self._refill(now)
-        return self._level > self.burst * FULL_SHARE
+        return self._level > self.burst * FULL_LEVEL_SHARE
 
-    def wait_s(self, now: float) -> float:
+    def wait_time_s(self, now: float) -> float:
         """How long a request made now would have to wait."""
         self._refill(now)
         return max(0.0, (1.0 - self._level) / self.rate)
@@ -106,7 +106,7 @@
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         # A garbled answer proves nothing about what was done.
-        raise StateUnsure(f"garbled answer: {error}") from None
+        raise StateResultUnknownError(f"garbled answer: {error}") from None
 
 
 class StateClient:
@@ -114,8 +114,8 @@
         self,
         request: Request,
         addr: str,
-        reads: Budget,
-        writes: Budget,
+        reads: TokenBucket,
+        writes: TokenBucket,
         lease_request: Request | None = None,
     ) -> None:
         """``lease_request``: what carries renewals of the lease, if not ``request``: they are to
@@ -123,10 +123,10 @@
         self._request = request
         self._lease_request = lease_request or request
         self._addr = addr
-        self.reads = reads
-        self.writes = writes
-        self.refused_at = float("-inf")  # when the service last found our rates too high
-        self.write_refused = False  # it found the rate of our writes too high at least once
+        self.request_bucket = reads
+        self.write_bucket = writes
+        self.rate_limited_at = float("-inf")  # when the service last found our rates too high
+        self.write_rate_limited = False  # it found the rate of our writes too high at least once
 
     async def _call(
         self,
@@ -136,33 +136,33 @@
         timeout: float = 1.0,
         urgent: bool = False,
         request: Request | None = None,
-    ) -> Reply:
+    ) -> ClientResponse:
         if not urgent:
-            await self.reads.take()
+            await self.request_bucket.acquire()
         request = request or self._request
         try:
             reply = await request(self._addr, method, target, body, timeout=timeout)
-        except NoAnswer as error:
-            if error.sent:
-                raise StateUnsure(str(error)) from None
-            raise StateDown(str(error)) from None
+        except NoResponseError as error:
+            if error.request_sent:
+                raise StateResultUnknownError(str(error)) from None
+            raise StateUnavailableError(str(error)) from None
         if reply.status == 429:
-            self.refused_at = asyncio.get_running_loop().time()
-            raise StateBusy("status 429")
+            self.rate_limited_at = asyncio.get_running_loop().time()
+            raise StateRateLimitedError("status 429")
         if reply.status == 503:
-            raise StateDown("status 503")
+            raise StateUnavailableError("status 503")
         return reply
 
-    async def page(self, prefix: str, after: str | None) -> protocol.Page:
+    async def list_keys(self, prefix: str, after: str | None) -> protocol.Page:
         target = f"/keys?prefix={quote(prefix)}&limit=1000"
         if after is not None:
             target += f"&from={quote(after)}"
         reply = await self._call("GET", target, timeout=3.0)
         if reply.status != 200:
-            raise StateUnsure(f"status {reply.status}")
+            raise StateResultUnknownError(f"status {reply.status}")
         return _decode(reply.body, protocol.Page)
 
-    async def changes(
+    async def watch(
         self, prefix: str, after: int, wait_s: float, urgent: bool = False
     ) -> protocol.Events | None:
         """What changed after a revision; None when the service no longer knows."""
@@ -171,44 +171,49 @@
         if reply.status == 410:
             return None
         if reply.status != 200:
-            raise StateUnsure(f"status {reply.status}")
+            raise StateResultUnknownError(f"status {reply.status}")
         return _decode(reply.body, protocol.Events)
 
-    async def multi(
-        self, conditions: list[dict[str, Any]], ops: list[dict[str, Any]], timeout: float = 1.0
+    async def transact(
+        self,
+        conditions: list[dict[str, Any]],
+        operations: list[dict[str, Any]],
+        timeout: float = 1.0,
     ) -> int:
-        if ops:
-            await self.writes.take(len(ops))
+        if operations:
+            await self.write_bucket.acquire(len(operations))
         try:
-            reply = await self._call("POST", "/multi", protocol.multi(conditions, ops), timeout)
-        except StateBusy:
-            self.write_refused = self.write_refused or bool(ops)
+            reply = await self._call(
+                "POST", "/multi", protocol.multi(conditions, operations), timeout
+            )
+        except StateRateLimitedError:
+            self.write_rate_limited = self.write_rate_limited or bool(operations)
             raise
         if reply.status == 200:
             return _decode(reply.body, protocol.MultiDone).epoch
         if reply.status == 409:
-            raise Conflict(_decode(reply.body, protocol.MultiFailed).failed)
+            raise TransactionConflictError(_decode(reply.body, protocol.MultiFailed).failed)
         if reply.status == 400 and b"lease" in reply.body:
-            raise NoSuchLease
+            raise LeaseExpiredError
         if reply.status == 400:
-            raise StateRefused(f"status 400: {reply.body[:200]!r}")
-        raise StateUnsure(f"status {reply.status}")
+            raise StateRejectedError(f"status 400: {reply.body[:200]!r}")
+        raise StateResultUnknownError(f"status {reply.status}")
 
-    async def grant(self, life_s: float) -> int:
-        reply = await self._call("POST", "/grants", {"life_ms": int(life_s * 1000)})
+    async def grant_lease(self, ttl_s: float) -> int:
+        reply = await self._call("POST", "/grants", {"life_ms": int(ttl_s * 1000)})
         if reply.status != 200:
-            raise StateUnsure(f"status {reply.status}")
+            raise StateResultUnknownError(f"status {reply.status}")
         return _decode(reply.body, protocol.Granted).tether
 
-    async def extend(self, lease: int, timeout: float) -> None:
+    async def renew_lease(self, lease: int, timeout: float) -> None:
         target = f"/grants/{lease}/extend"
         reply = await self._call(
             "POST", target, {}, timeout=timeout, urgent=True, request=self._lease_request
         )
         if reply.status == 404:
-            raise NoSuchLease
+            raise LeaseExpiredError
         if reply.status != 200:
-            raise StateUnsure(f"status {reply.status}")
+            raise StateResultUnknownError(f"status {reply.status}")
 
-    async def revoke(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         await self._call("DELETE", f"/grants/{lease}")
--- a/petrelthread/store/test_write_quota.py
+++ b/petrelthread/store/test_write_quota.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from petrelthread.store.write_quota import LEAST, LOAN_S, WriteQuota
+from petrelthread.store.write_quota import LOAN_S, MIN_RATE, WriteQuota
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -24,7 +24,7 @@
         for entry in [e for e in late if e[0] <= now]:
             late.remove(entry)
             _, to, lender, amount, asked_at = entry
-            nodes[to].took(lender, amount, asked_at)
+            nodes[to].record_loan(lender, amount, asked_at)
         if chance.random() < 0.5:
             asker, lender = chance.sample(names, 2)
             asked_at = now * clocks[asker]
@@ -44,7 +44,7 @@
 def test_an_idle_share_helps_a_busy_one_and_comes_back() -> None:
     busy, idle = WriteQuota(6.0), WriteQuota(4.0)
     amount = idle.lend("busy", 9.0, 0.2, 10.0)
-    busy.took("idle", amount, 9.9)
+    busy.record_loan("idle", amount, 9.9)
     assert amount == 2.0
     assert (busy.rate(10.0), idle.rate(10.0)) == (8.0, 2.0)
     assert idle.lend("busy", 9.0, 1.9, 11.0) == pytest.approx(0.2)  # it needs more itself now,
@@ -59,5 +59,5 @@
     assert node.lend("other", 9.0, 0.0, 10.0) == 4.0
     for follower in (4.0, 1.0):
         node.base = follower
-        assert node.rate(10.5) == LEAST > 0
+        assert node.rate(10.5) == MIN_RATE > 0
     assert node.rate(13.2) == 1.0  # the loan is over
--- a/petrelthread/store/test_write_rates.py
+++ b/petrelthread/store/test_write_rates.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from petrelthread.http import Reply
-from petrelthread.store import Budget, StateBusy, StateClient, WriteRates
+from petrelthread.http import ClientResponse
+from petrelthread.store import StateClient, StateRateLimitedError, TokenBucket, WriteRates
 from tests.virtual import play
 
 
@@ -21,10 +21,10 @@
 def test_only_a_refused_write_shows_that_the_write_limit_dropped(
     ops: list[dict[str, object]], shows: bool
 ) -> None:
-    async def refused(*args: object, **kwargs: object) -> Reply:
-        return Reply(429, b"")
+    async def refused(*args: object, **kwargs: object) -> ClientResponse:
+        return ClientResponse(429, b"")
 
-    client = StateClient(refused, "state:1", Budget(100.0, 100.0), Budget(100.0, 100.0))
-    with pytest.raises(StateBusy):
-        play(client.multi([], ops))
-    assert client.write_refused is shows
+    client = StateClient(refused, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0))
+    with pytest.raises(StateRateLimitedError):
+        play(client.transact([], ops))
+    assert client.write_rate_limited is shows
--- a/petrelthread/store/watch_cache.py
+++ b/petrelthread/store/watch_cache.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from petrelthread import protocol
-from petrelthread.store.client import StateClient, StateDown, StateUnsure
+from petrelthread.store.client import StateClient, StateResultUnknownError, StateUnavailableError
 
 log = logging.getLogger(__name__)
 
-ROOT = "pt/"
-WATCH_S = 10.0
+KEY_PREFIX = "pt/"
+WATCH_TIMEOUT_S = 10.0
 
 Listener = Callable[[str, Any, int], None]
 
@@ -24,13 +24,13 @@
     def __init__(self, client: StateClient, listener: Listener, gap_s: float) -> None:
         self._client = client
         self._listener = listener
-        self.gap_s = gap_s
-        self.stamps: dict[str, int] = {}
+        self.poll_interval_s = gap_s
+        self.revisions: dict[str, int] = {}
         self.revision = 0
         self.loaded = asyncio.Event()
         # Everything that the service held at this instant is known here: the start of the newest
         # complete read. An answer that came later may still be older than a change after its start.
-        self.last_ok = float("-inf")
+        self.current_as_of = float("-inf")
         self._round: asyncio.Task[bool] | None = None
         self._next_round: asyncio.Task[bool] | None = None
 
@@ -45,34 +45,36 @@
         first: int | None = None
         after: str | None = None
         while True:
-            page = await self._client.page(ROOT, after)
+            page = await self._client.list_keys(KEY_PREFIX, after)
             first = page.epoch if first is None else first
             for pair in page.pairs:
-                found[pair.path[len(ROOT) :]] = (pair.v, pair.stamp)
+                found[pair.path[len(KEY_PREFIX) :]] = (pair.v, pair.stamp)
             if not page.more:
                 break
             last = page.pairs[-1].path if page.pairs else ""
             if last <= (after or ""):
                 # A reading that lacks keys would make this controller forget what they hold.
-                raise StateUnsure(f"page after {after!r} goes no further, though more is to come")
+                raise StateResultUnknownError(
+                    f"page after {after!r} goes no further, though more is to come"
+                )
             after = last
         reached = self.revision  # by a watch, which told everything up to it
-        for key, told in list(self.stamps.items()):
+        for key, told in list(self.revisions.items()):
             if key not in found and told <= first:
-                self._tell(key, None, first)
+                self._notify(key, None, first)
         for key, (value, stamp) in sorted(found.items(), key=lambda item: item[1][1]):
-            if stamp > max(reached, self.stamps.get(key, 0)):
-                self._tell(key, value, stamp)
+            if stamp > max(reached, self.revisions.get(key, 0)):
+                self._notify(key, value, stamp)
         self.revision = max(reached, first)
-        self.last_ok = max(self.last_ok, started)
+        self.current_as_of = max(self.current_as_of, started)
         self.loaded.set()
 
-    def _tell(self, key: str, value: Any, stamp: int) -> None:
+    def _notify(self, key: str, value: Any, revision: int) -> None:
         if value is None:
-            self.stamps.pop(key, None)
+            self.revisions.pop(key, None)
         else:
-            self.stamps[key] = stamp
-        self._listener(key, value, stamp)
+            self.revisions[key] = revision
+        self._listener(key, value, revision)
 
     def _apply(self, events: protocol.Events) -> None:
         # Two watches may be open at once: each answer covers all up to its epoch, so whatever
@@ -81,20 +83,20 @@
             if event.stamp <= self.revision:
                 continue
             if event.put is not None:
-                self._tell(event.put[len(ROOT) :], event.v, event.stamp)
+                self._notify(event.put[len(KEY_PREFIX) :], event.v, event.stamp)
             elif event.drop is not None:
-                self._tell(event.drop[len(ROOT) :], None, event.stamp)
+                self._notify(event.drop[len(KEY_PREFIX) :], None, event.stamp)
         self.revision = max(self.revision, events.epoch)
 
     async def _catch_up(self, wait_s: float, urgent: bool = False) -> None:
         start = asyncio.get_running_loop().time()
-        events = await self._client.changes(ROOT, self.revision, wait_s, urgent)
+        events = await self._client.watch(KEY_PREFIX, self.revision, wait_s, urgent)
         if events is None:
             log.info("state: watch too old, reading all keys again")
             await self.load()
             return
         self._apply(events)
-        self.last_ok = max(self.last_ok, start)
+        self.current_as_of = max(self.current_as_of, start)
 
     async def follow(self) -> None:
         """Keep the cache near the service for as long as the process lives."""
@@ -103,32 +105,32 @@
                 if not self.loaded.is_set():
                     await self.load()
                 else:
-                    await self._catch_up(WATCH_S)
-                await asyncio.sleep(self.gap_s)
-            except (StateDown, StateUnsure) as error:
+                    await self._catch_up(WATCH_TIMEOUT_S)
+                await asyncio.sleep(self.poll_interval_s)
+            except (StateUnavailableError, StateResultUnknownError) as error:
                 log.debug("state: watch failed: %s", error)
                 await asyncio.sleep(0.3)
 
-    async def fresh(self) -> bool:
+    async def refresh(self) -> bool:
         """True once the cache holds all that was there when this was called.
 
         Callers share rounds: a round serves only those who asked before it began, so one may be
         running while the next one gathers callers.
         """
         if self._next_round is None:
-            self._next_round = asyncio.create_task(self._fresh_round(self._round))
+            self._next_round = asyncio.create_task(self._refresh_round(self._round))
         return await asyncio.shield(self._next_round)
 
-    async def _fresh_round(self, before: asyncio.Task[bool] | None) -> bool:
+    async def _refresh_round(self, before: asyncio.Task[bool] | None) -> bool:
         if before is not None and not before.done():
             await asyncio.wait([before])
-        await self._client.reads.take()
+        await self._client.request_bucket.acquire()
         self._round, self._next_round = self._next_round, None
         if not self.loaded.is_set():
             return False
         try:
             await self._catch_up(0.0, urgent=True)
-        except (StateDown, StateUnsure) as error:
+        except (StateUnavailableError, StateResultUnknownError) as error:
             log.debug("state: fresh read failed: %s", error)
             return False
         return True
--- a/petrelthread/store/write_quota.py
+++ b/petrelthread/store/write_quota.py
@@ -11,9 +11,9 @@
 
 LOAN_S = 3.0
 DRIFT = 1.002
-KEEPS = 0.5  # of its share that a controller never lends: its users come in bursts
-LEAST = 0.2  # a second, until loans given under a larger share have ended
-NEED_MORE = 2.0  # times its writes of late that it may soon need
+RETAINED_SHARE = 0.5  # of its share that a controller never lends: its users come in bursts
+MIN_RATE = 0.2  # a second, until loans given under a larger share have ended
+NEED_FACTOR = 2.0  # times its writes of late that it may soon need
 
 
 class Loan(NamedTuple):
@@ -30,14 +30,14 @@
 
     def lend(self, to: str, asked: float, used: float, now: float) -> float:
         """The answer to a sibling that asks for more; ``used``: our own writes a second of late."""
-        need = max(KEEPS * self.base, NEED_MORE * used)
+        need = max(RETAINED_SHARE * self.base, NEED_FACTOR * used)
         others = sum(self._outstanding(name, now) for name in self._lent if name != to)
         amount = max(0.0, min(asked, self.base - need - others))
         if amount > 0 or to in self._lent:
             self._lent.setdefault(to, []).append(Loan(amount, now + LOAN_S * DRIFT))
         return amount
 
-    def took(self, lender: str, amount: float, asked_at: float) -> None:
+    def record_loan(self, lender: str, amount: float, asked_at: float) -> None:
         """A sibling's answer. It counts from when we asked, which was before it lent anything."""
         self._borrowed[lender] = Loan(amount, asked_at + LOAN_S)
 
@@ -51,4 +51,4 @@
         borrowed = sum(loan.amount for loan in self._borrowed.values() if loan.until > now)
         # A leader that has just lost the lead may have lent all that a follower's share is. With a
         # rate of 0 its users' submissions ended in a traceback until the loan was over.
-        return max(LEAST, self.base - lent + borrowed + self.extra)
+        return max(MIN_RATE, self.base - lent + borrowed + self.extra)
--- a/tests/golden_data.py
+++ b/tests/golden_data.py
@@ -14,7 +14,7 @@
 import orjson
 
 from petrelthread.emulator.world import Handler
-from petrelthread.http import Reply, Response
+from petrelthread.http import ClientResponse, Response
 from tests.world import World
 
 DIRECTORY = Path(__file__).parent / "golden"
@@ -54,12 +54,12 @@
 
     async def request(
         self, addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-    ) -> Reply:
+    ) -> ClientResponse:
         sent = orjson.loads(orjson.dumps(body))
         self.asked.append({"address": addr, "method": method, "target": target, "body": sent})
         status, answer = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
         await asyncio.sleep(0.01)
-        return Reply(status, orjson.dumps(answer))
+        return ClientResponse(status, orjson.dumps(answer))
 
 
 class RecordedHosts(dict[str, Handler]):
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -9,7 +9,7 @@
 import pytest
 
 from petrelthread.emulator.worker import Worker
-from petrelthread.http import NoAnswer
+from petrelthread.http import NoResponseError
 from petrelthread.leadership import Role
 from tests.test_faults import run
 from tests.virtual import play
@@ -242,7 +242,7 @@
         await world.submit(job("wk-000001", 2))
         world.judge.calm_at = now()
         world.net.cut |= {frozenset(("user", n)) for n in NODES}
-        with pytest.raises(NoAnswer):
+        with pytest.raises(NoResponseError):
             await world.ask("n0", "GET", "/v2/runs/wk-000001")
         await asyncio.sleep(60.0)
         world.judge.nothing_forgotten()
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -10,9 +10,9 @@
 from petrelthread import protocol
 from petrelthread.benchmark.populated import PopulatedLeader
 from petrelthread.emulator.state_service import StateService
-from petrelthread.http import Reply
+from petrelthread.http import ClientResponse
 from petrelthread.state import ClusterState, Interners, first_number
-from petrelthread.store import ROOT, Budget, StateClient, WatchCache
+from petrelthread.store import KEY_PREFIX, StateClient, TokenBucket, WatchCache
 
 MACHINES = 4000
 BODY_MOST = 64 * 1024  # PROTOCOL: of one transaction
@@ -56,26 +56,26 @@
 
         async def request(
             addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-        ) -> Reply:
+        ) -> ClientResponse:
             nonlocal pages
             pages += target.startswith("/keys?")
             status, answer = await store.handle("node", method, target, body)
-            return Reply(status, orjson.dumps(answer))
+            return ClientResponse(status, orjson.dumps(answer))
 
         for number in range(MACHINES):  # a rental record a machine: several pages of keys
-            store.put(f"{ROOT}c/3-{number}", {"m": [f"host-{number:06d}"], "t": "small"})
+            store.put(f"{KEY_PREFIX}c/3-{number}", {"m": [f"host-{number:06d}"], "t": "small"})
         running = {
             (attempt.job.id, attempt.task, machine)
             for machine, there in leader.state.on_machine.items()
             for attempt in there.values()
         }
         for job in leader.state.jobs:
-            store.put(f"{ROOT}j/{job.id}", leader.stored(job))
+            store.put(f"{KEY_PREFIX}j/{job.id}", leader.stored(job))
         for n, (job_id, task, machine) in enumerate(sorted(running)):
             name = leader.state.names.machines.name(machine)
-            store.put(f"{ROOT}r/{first_number(3) + n + 1}", [[name, 1, [[job_id, [task]]]]])
+            store.put(f"{KEY_PREFIX}r/{first_number(3) + n + 1}", [[name, 1, [[job_id, [task]]]]])
         known = ClusterState(Interners(["red"], ["a"]))
-        client = StateClient(request, "state:1", Budget(1e6, 1e6), Budget(1e6, 1e6))
+        client = StateClient(request, "state:1", TokenBucket(1e6, 1e6), TokenBucket(1e6, 1e6))
         await WatchCache(client, known.on_key, 0.1).load()
         assert pages >= (MACHINES + len(running)) // 1000
         assert len(known.rentals) == MACHINES
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -29,14 +29,14 @@
     pack_round,
 )
 from petrelthread.store import (
-    Budget,
-    Conflict,
-    NoSuchLease,
-    StateBusy,
+    LeaseExpiredError,
     StateClient,
-    StateDown,
-    StateRefused,
-    StateUnsure,
+    StateRateLimitedError,
+    StateRejectedError,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TokenBucket,
+    TransactionConflictError,
     WatchCache,
 )
 from tests.golden_data import (
@@ -54,7 +54,7 @@
 
 
 def state_client(requester: Requester) -> StateClient:
-    return StateClient(requester.request, "state:1", Budget(1e6, 1e6), Budget(1e6, 1e6))
+    return StateClient(requester.request, "state:1", TokenBucket(1e6, 1e6), TokenBucket(1e6, 1e6))
 
 
 # ---- stored keys -------------------------------------------------------------------------------
@@ -206,7 +206,9 @@
         return as_data(await call)
     except tuple(failures.values()) as error:
         [says] = [says for says, kind in failures.items() if kind is type(error)]
-        return [says, list(error.failed)] if isinstance(error, Conflict) else says
+        return (
+            [says, list(error.failed_keys)] if isinstance(error, TransactionConflictError) else says
+        )
 
 
 CLOUD_FAILURES: dict[str, type[Exception]] = {
@@ -228,7 +230,7 @@
     async def scenario() -> None:
         name, replies = given("cloud", "calls", case)
         requester = Requester(*replies)
-        client = CloudClient(requester.request, "cloud:1", Budget(1e6, 1e6))
+        client = CloudClient(requester.request, "cloud:1", TokenBucket(1e6, 1e6))
         result = await outcome(CLOUD_CALLS[name](client), CLOUD_FAILURES)
         expect("cloud", "calls", case, [requester.asked, result])
 
@@ -236,12 +238,12 @@
 
 
 STATE_FAILURES: dict[str, type[Exception]] = {
-    "too often": StateBusy,
-    "refused for ever": StateRefused,
-    "not carried out": StateDown,
-    "unsure": StateUnsure,
-    "lease over": NoSuchLease,
-    "conditions failed": Conflict,
+    "too often": StateRateLimitedError,
+    "refused for ever": StateRejectedError,
+    "not carried out": StateUnavailableError,
+    "unsure": StateResultUnknownError,
+    "lease over": LeaseExpiredError,
+    "conditions failed": TransactionConflictError,
 }
 CONDITIONS = [protocol.when("pt/lead", 412), protocol.when("pt/j/wk-000001", 0)]
 CHANGES = [
@@ -250,15 +252,15 @@
     protocol.drop("pt/c/4-1"),
 ]
 STATE_CALLS: dict[str, Callable[[StateClient], Awaitable[Any]]] = {
-    "first page": lambda client: client.page("pt/", None),
-    "next page": lambda client: client.page("pt/", "pt/j/wk-000412"),
-    "watch": lambda client: client.changes("pt/", 431, 10.0),
-    "watch without waiting": lambda client: client.changes("pt/", 431, 0.0, True),
-    "transaction": lambda client: client.multi(CONDITIONS, CHANGES),
-    "comparison alone": lambda client: client.multi(CONDITIONS, []),
-    "grant": lambda client: client.grant(3.0),
-    "extend": lambda client: client.extend(7, 0.9),
-    "revoke": lambda client: client.revoke(7),
+    "first page": lambda client: client.list_keys("pt/", None),
+    "next page": lambda client: client.list_keys("pt/", "pt/j/wk-000412"),
+    "watch": lambda client: client.watch("pt/", 431, 10.0),
+    "watch without waiting": lambda client: client.watch("pt/", 431, 0.0, True),
+    "transaction": lambda client: client.transact(CONDITIONS, CHANGES),
+    "comparison alone": lambda client: client.transact(CONDITIONS, []),
+    "grant": lambda client: client.grant_lease(3.0),
+    "extend": lambda client: client.renew_lease(7, 0.9),
+    "revoke": lambda client: client.revoke_lease(7),
 }
 
 
@@ -279,7 +281,7 @@
         requester, told = Requester(*replies), []
         cache = WatchCache(state_client(requester), lambda *key: told.append(list(key)), 0.15)
         await cache.load()
-        assert await cache.fresh()
+        assert await cache.refresh()
         asked = requester.asked
         expect("state_service", "reading", "two pages, then a watch", [asked, told])
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from petrelthread.http import NoAnswer
+from petrelthread.http import NoResponseError
 from petrelthread.leadership import Role
 from tests.test_faults import run
 from tests.world import NODES, SMALL, Fate, World, job
@@ -163,7 +163,7 @@
     async def one(node: str, method: str, path: str, body: Any) -> None:
         try:
             status, answer = await world.ask(node, method, path, body)
-        except NoAnswer:
+        except NoResponseError:
             return
         world.judge.told(job_id, status, answer)
         assert status not in (400, 422), (job_id, node, answer)
--- a/tests/test_watch_cache.py
+++ b/tests/test_watch_cache.py
@@ -9,8 +9,8 @@
 import orjson
 import pytest
 
-from petrelthread.http import Reply
-from petrelthread.store import Budget, StateClient, StateUnsure, WatchCache
+from petrelthread.http import ClientResponse
+from petrelthread.store import StateClient, StateResultUnknownError, TokenBucket, WatchCache
 from tests.virtual import play
 
 
@@ -18,32 +18,36 @@
     """Its pages were older: a round known by the watch looked dropped, and its starts settled."""
     told: list[tuple[str, Any]] = []
 
-    async def request(addr: str, method: str, target: str, body: Any, timeout: float) -> Reply:
+    async def request(
+        addr: str, method: str, target: str, body: Any, timeout: float
+    ) -> ClientResponse:
         query = parse_qs(urlsplit(target).query)
         if target.startswith("/keys"):
             await asyncio.sleep(1.0)  # the page is as old as the request
             pairs = [{"path": "pt/f/wk-1", "v": "old", "stamp": 3}]
-            return Reply(200, orjson.dumps({"pairs": pairs, "more": False, "epoch": 5}))
+            return ClientResponse(200, orjson.dumps({"pairs": pairs, "more": False, "epoch": 5}))
         assert query["from"] == ["4"]
         log = [
             {"put": "pt/r/9", "v": [], "stamp": 7},
             {"put": "pt/f/wk-1", "v": "done", "stamp": 8},
         ]
-        return Reply(200, orjson.dumps({"epoch": 8, "log": log}))
+        return ClientResponse(200, orjson.dumps({"epoch": 8, "log": log}))
 
     async def main() -> None:
-        client = StateClient(request, "state:1", Budget(100.0, 100.0), Budget(100.0, 100.0))
+        client = StateClient(
+            request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0)
+        )
         watch_cache = WatchCache(client, lambda key, value, stamp: told.append((key, value)), 0.1)
         watch_cache.loaded.set()
-        watch_cache.revision, watch_cache.stamps = 4, {"c/1-1": 2}
+        watch_cache.revision, watch_cache.revisions = 4, {"c/1-1": 2}
         began = asyncio.get_running_loop().time()
         reload = asyncio.ensure_future(watch_cache.load())
         await asyncio.sleep(0.2)
-        assert await watch_cache.fresh()
+        assert await watch_cache.refresh()
         await reload
         assert told == [("r/9", []), ("f/wk-1", "done"), ("c/1-1", None)]
         assert watch_cache.revision == 8
-        assert began + 0.1 < watch_cache.last_ok < began + 0.5  # not when the old pages came
+        assert began + 0.1 < watch_cache.current_as_of < began + 0.5  # not when the old pages came
 
     play(main())
 
@@ -53,17 +57,21 @@
     """Taken for all there is, it would make the controller forget what the missing keys hold."""
     told: list[str] = []
 
-    async def request(addr: str, method: str, target: str, body: Any, timeout: float) -> Reply:
+    async def request(
+        addr: str, method: str, target: str, body: Any, timeout: float
+    ) -> ClientResponse:
         query = parse_qs(urlsplit(target).query)
         pairs: list[Any] = [{"path": f"pt/j/wk-{n}", "v": [], "stamp": n} for n in (1, 2)]
         if "from" in query and fault == "empty page":
             pairs = []
-        return Reply(200, orjson.dumps({"pairs": pairs, "more": True, "epoch": 9}))
+        return ClientResponse(200, orjson.dumps({"pairs": pairs, "more": True, "epoch": 9}))
 
     async def main() -> None:
-        client = StateClient(request, "state:1", Budget(100.0, 100.0), Budget(100.0, 100.0))
+        client = StateClient(
+            request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0)
+        )
         watch_cache = WatchCache(client, lambda key, value, stamp: told.append(key), 0.1)
-        with pytest.raises(StateUnsure, match="goes no further"):
+        with pytest.raises(StateResultUnknownError, match="goes no further"):
             await watch_cache.load()
         assert not told and not watch_cache.loaded.is_set()
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,7 +23,7 @@
 from petrelthread.emulator.worker import Worker
 from petrelthread.emulator.workload import job_spec
 from petrelthread.emulator.world import Handler
-from petrelthread.http import NoAnswer, Reply
+from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.settings import Settings, parse
 from tests.virtual import PROCESS, VirtualLoop
 
@@ -155,10 +155,10 @@
     def detach(self, address: str) -> None:
         self.hosts.pop(address, None)
 
-    def requester(self, source: str) -> Callable[..., Awaitable[Reply]]:
+    def requester(self, source: str) -> Callable[..., Awaitable[ClientResponse]]:
         async def request(
             addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-        ) -> Reply:
+        ) -> ClientResponse:
             # Bodies cross as bytes, so that nobody shares an object with anybody.
             data = orjson.loads(orjson.dumps(body)) if body is not None else None
             host = addr.partition(":")[0]
@@ -168,33 +168,33 @@
                         asyncio.ensure_future(self._carry(source, host, addr, method, target, data))
                     )
             except TimeoutError:
-                raise NoAnswer("timeout", True) from None
+                raise NoResponseError("timeout", True) from None
 
         return request
 
     async def _carry(
         self, source: str, host: str, addr: str, method: str, target: str, body: Any
-    ) -> Reply:
+    ) -> ClientResponse:
         await asyncio.sleep(0.001)
         if source in self.mute:
             await asyncio.sleep(1000.0)
         if frozenset((source, host)) in self.cut or addr not in self.hosts:
             if addr in self.hosts:
                 await asyncio.sleep(1000.0)
-            raise NoAnswer("refused", False)
+            raise NoResponseError("refused", False)
         fate: tuple[float, bool] | None = (0.0, False)
         if self.fate is not None:
             fate = self.fate(source, addr, method, target, body)
         if fate is None:
             await asyncio.sleep(1000.0)
-            raise NoAnswer("lost", True)
+            raise NoResponseError("lost", True)
         if fate[0]:
             await asyncio.sleep(fate[0])
         while host in self.world.loop.still:
             await asyncio.sleep(0.05)  # it lies in the socket's buffer
         handler = self.hosts.get(addr)
         if handler is None:
-            raise NoAnswer("gone", True)
+            raise NoResponseError("gone", True)
         if host in self.deaf:
             await asyncio.sleep(1000.0)
         late = self.copy(source, addr, method, target)
@@ -205,7 +205,7 @@
             await asyncio.sleep(delay_s)
         if fate[1] or source in self.deaf or frozenset((source, host)) in self.cut:
             await asyncio.sleep(1000.0)
-        return Reply(status, orjson.dumps(answer))
+        return ClientResponse(status, orjson.dumps(answer))
 
     async def _again(
         self, late: float, source: str, addr: str, method: str, target: str, body: Any
@@ -326,7 +326,7 @@
             for node in nodes or self.made_of.nodes:
                 try:
                     status, answer = await self.ask(node, "POST", "/v2/runs", spec)
-                except NoAnswer:
+                except NoResponseError:
                     continue
                 self.judge.told(spec["name_id"], status, answer)
                 if status in (200, 201):
@@ -347,7 +347,7 @@
         self.judge.asked_to_cancel.add(job_id)
         try:
             status, answer = await self.ask(node, "POST", f"/v2/runs/{job_id}/withdraw")
-        except NoAnswer:
+        except NoResponseError:
             return None
         self.judge.told(job_id, status, answer)
         if status != 200:
@@ -361,7 +361,7 @@
             for node in self.made_of.nodes:
                 try:
                     status, answer = await self.ask(node, "GET", f"/v2/runs/{job_id}")
-                except NoAnswer:
+                except NoResponseError:
                     continue
                 self.judge.told(job_id, status, answer)
         self.judge.nothing_forgotten()
