--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -13,8 +13,8 @@
 import msgspec
 import orjson
 
-from petrelthread.peers import Heartbeat
-from petrelthread.state import ClusterState, Interners, pack_done, pack_round
+from petrelthread.peers import PeerHeartbeat
+from petrelthread.state import ClusterState, InternedNames, pack_finished_tasks, pack_round_records
 from tests.virtual import play
 from tests.world import World, job
 
@@ -36,16 +36,23 @@
 
 def test_what_production_wrote_is_read() -> None:
     """A reader sees the keys in the order of their writing (WatchCache.load sorts them)."""
-    cluster_state = ClusterState(Interners(["red"], ["a", "b"]))
+    cluster_state = ClusterState(InternedNames(["red"], ["a", "b"]))
     for stamp, (key, value) in enumerate(GOLDEN.items(), 1):
         cluster_state.on_key(key, value, stamp)
-    first, second, third = (cluster_state.by_id[f"wk-00000{n}"] for n in (1, 2, 3))
-    assert (first.tasks, first.spot, first.spread_zones, first.service) == (4, True, False, False)
-    assert (second.single_zone, second.spread_zones, second.spot) == (True, True, True)
-    assert (second.done, second.pending, second.due_s) == (3, 1, 90.0)
-    assert third.final == "aborted" and set(third.live) == {2}  # counts until it is surely gone
-    assert {task: a.number for task, a in first.live.items()} == {0: 4194305, 1: 4194305}
-    assert [bool(first.live[n].halted_at) for n in (0, 1)] == [False, True]
+    first, second, third = (cluster_state.jobs_by_id[f"wk-00000{n}"] for n in (1, 2, 3))
+    assert (first.task_count, first.spot_allowed, first.spread_zones, first.is_service) == (
+        4,
+        True,
+        False,
+        False,
+    )
+    assert (second.single_zone, second.spread_zones, second.spot_allowed) == (True, True, True)
+    assert (second.done_count, second.pending_count, second.deadline_s) == (3, 1, 90.0)
+    assert third.final_status == "aborted" and set(third.live_attempts) == {
+        2
+    }  # counts until it is surely gone
+    assert {task: a.number for task, a in first.live_attempts.items()} == {0: 4194305, 1: 4194305}
+    assert [bool(first.live_attempts[n].stop_requested_at) for n in (0, 1)] == [False, True]
     assert cluster_state.recorded_machines() == {"host-000001", "host-000009"}
     assert 4194305 >> 20 == 4  # the epoch that claimed it
 
@@ -102,19 +109,24 @@
 
 def test_records_are_packed_as_before() -> None:
     entries = [("host-2", 1, "wk-1", 3), ("host-1", 2, "wk-1", 0), ("host-1", 2, "wk-1", 1)]
-    [record] = pack_round(entries, 2000)
+    [record] = pack_round_records(entries, 2000)
     assert record == [["host-1", 2, [["wk-1", [0, 1]]]], ["host-2", 1, [["wk-1", [3]]]]]
-    assert pack_done({"wk-1": [0, 1, 2, 7]}, 2000) == ([["wk-1", [0, 2, 7, 7]]], {})
+    assert pack_finished_tasks({"wk-1": [0, 1, 2, 7]}, 2000) == ([["wk-1", [0, 2, 7, 7]]], {})
 
 
 def test_greetings_of_both_versions_are_understood() -> None:
     old = b'{"node":"n1","epoch":7,"leading":true,"state_ok":true,"workers":3,"zone":"a"}'
-    heartbeat = msgspec.convert(orjson.loads(old), Heartbeat)
-    assert (heartbeat.node, heartbeat.epoch, heartbeat.leading, heartbeat.asks) == (
+    heartbeat = msgspec.convert(orjson.loads(old), PeerHeartbeat)
+    assert (
+        heartbeat.node,
+        heartbeat.epoch,
+        heartbeat.is_leader,
+        heartbeat.requested_write_rate,
+    ) == (
         "n1",
         7,
         True,
         0.0,
     )
     known = {"node", "epoch", "leading", "state_ok", "workers", "zone", "asks", "lends"}
-    assert set(msgspec.to_builtins(Heartbeat("n1"))) >= known
+    assert set(msgspec.to_builtins(PeerHeartbeat("n1"))) >= known
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -11,7 +11,7 @@
 from petrelthread.benchmark.populated import PopulatedLeader
 from petrelthread.emulator.state_service import StateService
 from petrelthread.http import ClientResponse
-from petrelthread.state import ClusterState, Interners, first_number
+from petrelthread.state import ClusterState, InternedNames, epoch_base_number
 from petrelthread.store import KEY_PREFIX, StateClient, TokenBucket, WatchCache
 
 MACHINES = 4000
@@ -29,7 +29,7 @@
         job = leader.accept(MACHINES, 0)
         now = asyncio.get_running_loop().time()
         rounds = 0
-        while job.pending:
+        while job.pending_count:
             starts, stops = node.scheduler.decide(now)
             claim = node.scheduler.builder.build(starts, stops, now)
             assert claim.rounds and len(claim.ops) <= state.txn_ops
@@ -40,10 +40,10 @@
             assert len(orjson.dumps(protocol.multi(conditions, claim.ops))) <= BODY_MOST
             node.scheduler._apply_claim(claim, now)
             rounds += 1
-            assert claim.more is bool(job.pending)
+            assert claim.more is bool(job.pending_count)
         assert 3 <= rounds <= 20
         for machine in node.fleet.machines.values():
-            assert node.cluster_state.use.machine(machine.index).cores <= 4.0
+            assert node.cluster_state.usage.machine(machine.index).cores <= 4.0
 
     asyncio.run(main())
 
@@ -66,22 +66,24 @@
             store.put(f"{KEY_PREFIX}c/3-{number}", {"m": [f"host-{number:06d}"], "t": "small"})
         running = {
             (attempt.job.id, attempt.task, machine)
-            for machine, there in leader.state.on_machine.items()
+            for machine, there in leader.state.attempts_by_machine.items()
             for attempt in there.values()
         }
         for job in leader.state.jobs:
             store.put(f"{KEY_PREFIX}j/{job.id}", leader.stored(job))
         for n, (job_id, task, machine) in enumerate(sorted(running)):
             name = leader.state.names.machines.name(machine)
-            store.put(f"{KEY_PREFIX}r/{first_number(3) + n + 1}", [[name, 1, [[job_id, [task]]]]])
-        known = ClusterState(Interners(["red"], ["a"]))
+            store.put(
+                f"{KEY_PREFIX}r/{epoch_base_number(3) + n + 1}", [[name, 1, [[job_id, [task]]]]]
+            )
+        known = ClusterState(InternedNames(["red"], ["a"]))
         client = StateClient(request, "state:1", TokenBucket(1e6, 1e6), TokenBucket(1e6, 1e6))
         await WatchCache(client, known.on_key, 0.1).load()
         assert pages >= (MACHINES + len(running)) // 1000
-        assert len(known.rentals) == MACHINES
+        assert len(known.scale_out_records) == MACHINES
         found = {
             (a.job.id, a.task, known.names.machines.name(machine))
-            for machine, there in known.on_machine.items()
+            for machine, there in known.attempts_by_machine.items()
             for a in there.values()
         }
         named = leader.state.names.machines.name
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -17,16 +17,16 @@
 from petrelthread.cli import main
 from petrelthread.controller import Controller
 from petrelthread.leadership import Election
-from petrelthread.peers import Heartbeat, Heartbeats
+from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.provisioning import CloudClient, CloudDown, CloudUnsure, NoCapacity
 from petrelthread.state import (
     Attempt,
     ClusterState,
-    Interners,
+    InternedNames,
     Job,
     epoch_of,
-    pack_done,
-    pack_round,
+    pack_finished_tasks,
+    pack_round_records,
 )
 from petrelthread.store import (
     LeaseExpiredError,
@@ -65,48 +65,84 @@
     spec = protocol.parse_job(orjson.dumps(given("stored_keys", "submissions", case)))
     stored = Job.encode(spec, NOW)
     expect("stored_keys", "submissions", case, stored)
-    names = Interners()
+    names = InternedNames()
     job = Job(0, spec.name_id, stored, names)
-    types = None if job.types is None else sorted(names.types.name(at) for at in job.types)
+    types = (
+        None
+        if job.machine_types is None
+        else sorted(names.machine_types.name(at) for at in job.machine_types)
+    )
     zone = None if job.zone is None else names.zones.name(job.zone)
-    strings = [names.teams.name(job.team), names.classes.name(job.jobclass), types, zone]
-    flags = [job.single_zone, job.spread_zones, job.spot, job.gang, job.service]
-    amounts = [job.cores, job.accelerators, job.ram_gb, job.size_gb, job.accepted_at, job.due_s]
-    times = [job.estimated_run_s, job.checkpoint_interval_s, job.grace_s]
-    facts = [*strings, job.rank, job.tasks, names.images.name(job.image), *flags, *amounts, *times]
+    strings = [names.teams.name(job.team), names.job_classes.name(job.job_class), types, zone]
+    flags = [job.single_zone, job.spread_zones, job.spot_allowed, job.is_gang, job.is_service]
+    amounts = [
+        job.cores,
+        job.accelerators,
+        job.ram_gb,
+        job.image_size_gb,
+        job.accepted_at,
+        job.deadline_s,
+    ]
+    times = [job.estimated_run_s, job.checkpoint_interval_s, job.grace_period_s]
+    facts = [
+        *strings,
+        job.priority,
+        job.task_count,
+        names.images.name(job.image),
+        *flags,
+        *amounts,
+        *times,
+    ]
     expect("stored_keys", "descriptions read", case, facts)
 
 
 def attempt_facts(cluster_state: ClusterState, attempt: Attempt) -> list[Any]:
     machine = cluster_state.names.machines.name(attempt.machine)
     epoch = epoch_of(attempt.number)
-    return [attempt.task, attempt.number, epoch, machine, attempt.session, attempt.halted_at > 0]
+    return [
+        attempt.task,
+        attempt.number,
+        epoch,
+        machine,
+        attempt.incarnation,
+        attempt.stop_requested_at > 0,
+    ]
 
 
 @pytest.mark.parametrize("case", cases("stored_keys", "keys read"))
 def test_stored_keys_are_read(case: str) -> None:
-    cluster_state = ClusterState(Interners(["red"], ["a", "b"]))
+    cluster_state = ClusterState(InternedNames(["red"], ["a", "b"]))
     for stamp, (key, value) in enumerate(given("stored_keys", "keys read", case), 1):
         cluster_state.on_key(key, value, stamp)
     jobs = {
-        job.id: [job.status, job.done, job.pending]
-        + [attempt_facts(cluster_state, attempt) for _, attempt in sorted(job.live.items())]
+        job.id: [job.status, job.done_count, job.pending_count]
+        + [
+            attempt_facts(cluster_state, attempt)
+            for _, attempt in sorted(job.live_attempts.items())
+        ]
         for job in cluster_state.jobs
     }
     machines = sorted(cluster_state.recorded_machines())
-    expect("stored_keys", "keys read", case, [jobs, machines, cluster_state.suspects])
+    expect(
+        "stored_keys", "keys read", case, [jobs, machines, cluster_state.machines_by_failing_job]
+    )
 
 
 @pytest.mark.parametrize("case", cases("stored_keys", "rounds"))
 def test_rounds_as_stored(case: str) -> None:
     placements, limit = given("stored_keys", "rounds", case)
-    expect("stored_keys", "rounds", case, pack_round([tuple(entry) for entry in placements], limit))
+    expect(
+        "stored_keys",
+        "rounds",
+        case,
+        pack_round_records([tuple(entry) for entry in placements], limit),
+    )
 
 
 @pytest.mark.parametrize("case", cases("stored_keys", "finished tasks"))
 def test_finished_tasks_as_stored(case: str) -> None:
     done, limit = given("stored_keys", "finished tasks", case)
-    expect("stored_keys", "finished tasks", case, pack_done(done, limit))
+    expect("stored_keys", "finished tasks", case, pack_finished_tasks(done, limit))
 
 
 def test_lead_and_epoch_as_stored() -> None:
@@ -130,7 +166,7 @@
         expect("stored_keys", "election", "won, then the token raised", [asked, shown])
         lead = given("stored_keys", "election", "another's lead read")
         election.on_key("lead", lead, 99)
-        facts = [election.home, election.known_epoch, election.acting]
+        facts = [election.leader_name, election.highest_known_epoch, election.may_answer_workers]
         expect("stored_keys", "election", "another's lead read", facts)
 
     play(scenario())
@@ -295,9 +331,9 @@
 def test_greetings_taken_in(case: str) -> None:
     async def scenario() -> None:
         method, body = given("peers", "greetings taken in", case)
-        mine = Heartbeat("n0", 7, True, True, 3, "a", 2.5)
-        taken: list[Heartbeat] = []
-        greetings = Heartbeats((), Requester().request, lambda: mine, taken.append, lambda _: 1.5)
+        mine = PeerHeartbeat("n0", 7, True, True, 3, "a", 2.5)
+        taken: list[PeerHeartbeat] = []
+        greetings = PeerMonitor((), Requester().request, lambda: mine, taken.append, lambda _: 1.5)
         response = response_facts(await greetings.handle(method, orjson.dumps(body)))
         expect("peers", "greetings taken in", case, [as_data(taken), response])
 
@@ -308,17 +344,17 @@
     async def scenario() -> None:
         requester = Requester(given("peers", "greetings sent", "answered"))
         lent: list[Any] = []
-        greetings = Heartbeats(
+        greetings = PeerMonitor(
             settings_of("n0").siblings[:1],
             requester.request,
-            lambda: Heartbeat("n0", 7, False, True, 3, "a", 2.5),
+            lambda: PeerHeartbeat("n0", 7, False, True, 3, "a", 2.5),
             lambda heartbeat: None,
             took=lambda lender, amount, asked_at: lent.append([lender, amount]),
         )
         running = asyncio.ensure_future(greetings.run())
         await asyncio.sleep(0.5)
         running.cancel()
-        heard = as_data(greetings.fresh(1.0))
+        heard = as_data(greetings.recent(1.0))
         expect("peers", "greetings sent", "answered", [requester.asked, heard, lent])
 
     play(scenario())
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -99,7 +99,7 @@
         node = world.nodes[await world.led()]
         await until(120.0)
         names = node.cluster_state.names
-        kind, zone = names.types.index("small"), names.zones.index("b")
+        kind, zone = names.machine_types.index("small"), names.zones.index("b")
         now = asyncio.get_running_loop().time()
         await node.provisioner._rent(Rent(kind, zone, True, 2), now)
         first = next(iter(node.fleet.machines.values()))
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -85,8 +85,8 @@
     leader = world.leader
     if leader is None:
         return 0
-    found = world.nodes[leader].cluster_state.by_id.get(CANCELLED)
-    return 0 if found is None else len(found.live)
+    found = world.nodes[leader].cluster_state.jobs_by_id.get(CANCELLED)
+    return 0 if found is None else len(found.live_attempts)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -238,7 +238,7 @@
         while now() < held.arrived_at:
             await asyncio.sleep(0.5)
             election = world.nodes[leader].election
-            assert election.role is Role.LEADING and election.token == election.epoch
+            assert election.role is Role.LEADING and election.fencing_token == election.epoch
         held.others = lambda *request: (0.0, False)
         await busy
 
@@ -252,10 +252,10 @@
         leader = await world.led()
         node = world.nodes[leader]
         for _ in range(3):
-            before = node.election.token
-            assert await node.election.raise_token()
+            before = node.election.fencing_token
+            assert await node.election.raise_fencing_token()
             stored = [value for key, value in world.store.puts if key == "pt/epoch"]
-            assert stored[-1] == node.election.token == node.fleet.token == before + 1
+            assert stored[-1] == node.election.fencing_token == node.fleet.token == before + 1
             # In the form that older versions write and read, which take the value plus one.
             (lead,) = [value for key, (value, _, _) in world.store.keys.items() if key == "pt/lead"]
             assert lead.keys() == {"node", "nonce", "epoch", "lease"}
@@ -291,12 +291,12 @@
             return 0.0, False
 
         world.net.fate = fate
-        before = election.token
-        assert await election.raise_token()
-        assert lost and election.token == before + 1
+        before = election.fencing_token
+        assert await election.raise_fencing_token()
+        assert lost and election.fencing_token == before + 1
         await asyncio.sleep(late_s + 3.0)
         assert election.role is Role.LEADING and world.leader == leader
-        assert election.token == before + 1
+        assert election.fencing_token == before + 1
         await world.until_over(60.0)
 
     run(scenario)
@@ -328,7 +328,7 @@
             await asyncio.sleep(0.01)
         await asyncio.sleep(raised_after_s)
         sent_at = now()
-        assert await node.election.raise_token()
+        assert await node.election.raise_fencing_token()
         while sum(leg.startswith("wk-000003") for leg, on in world.judge.on.items() if on) < 2:
             await asyncio.sleep(0.1)
             assert now() < sent_at + 2.75  # 1.5 s on its way, 1 s to fetch the image
@@ -352,13 +352,13 @@
         await world.submit(job("wk-000002", 1))
         await world.running(1)
         held.others = all_lost
-        before, since = node.election.token, now()
+        before, since = node.election.fencing_token, now()
         for n in range(200, 230):
             await world.submit(job(f"wk-{n:06d}", 3, crew=("red", "blue", "guest")[n % 3]))
             await asyncio.sleep(world.random.uniform(0.2, 2.0))
             await world.try_to_cancel(f"wk-{n:06d}", leader)
             await asyncio.sleep(world.random.uniform(0.2, 2.0))
-        raises = node.election.token - before
+        raises = node.election.fencing_token - before
         gap_s = node.fleet.uncertain.raise_gap_s
         assert world.leader == leader
         assert 2 <= raises <= (now() - since) / gap_s + 1
@@ -382,10 +382,10 @@
             return 0.0, blind and target.startswith(("/multi", "/watch"))
 
         world.net.fate = fate
-        before = election.token
-        assert await election.raise_token()
+        before = election.fencing_token
+        assert await election.raise_fencing_token()
         assert now() > raised_at + 1.5
-        assert election.known_epoch == election.token == before + 1
+        assert election.highest_known_epoch == election.fencing_token == before + 1
         assert election.role is Role.LEADING
         await world.until_over(60.0)
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -100,7 +100,7 @@
         election = world.nodes[leader].election
         world.store.outage(True)
         await asyncio.sleep(13.0)  # longer than a watch stays open
-        assert election.role is Role.HOLDING_OVER
+        assert election.role is Role.LEASE_GRACE
 
         def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             lost = source == leader and target.startswith(("/watch", "/keys"))
@@ -111,8 +111,8 @@
         assert await cancelled_at(world, "wk-000001", others(leader))
         for _ in range(20):
             await asyncio.sleep(0.1)
-            knows = world.nodes[leader].cluster_state.by_id["wk-000001"].final
-            assert knows or not (election.leading and election.fence())
+            knows = world.nodes[leader].cluster_state.jobs_by_id["wk-000001"].final_status
+            assert knows or not (election.is_leader and election.fence())
         world.net.fate = None
         await world.until_over(60.0)
 
@@ -133,7 +133,7 @@
         await asyncio.sleep(0.5)
         world.store.outage(True)
         await asyncio.sleep(4.0)
-        assert world.nodes[leader].election.role is Role.HOLDING_OVER
+        assert world.nodes[leader].election.role is Role.LEASE_GRACE
         world.net.deaf -= deaf
         await asyncio.sleep(4.0)
         assert not any(world.judge.on.values())
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -88,7 +88,7 @@
         assert tries_of(world, "wk-000001") <= begun + 2  # the new leader knows
         tries = [leg for leg in world.judge.started_at if leg.startswith("wk-000001/")]
         assert len(tries) < 12  # a full start, then one at a time
-        said = why(node, node.cluster_state.by_id["wk-000001"], now())
+        said = why(node, node.cluster_state.jobs_by_id["wk-000001"], now())
         assert "fails everywhere" in said, said
         await asyncio.sleep(40.0)
         good = [f"wk-{n:06d}" for n in range(3, 7)]
@@ -133,13 +133,13 @@
         world.bad_tasks |= {f"wk-000001/{n}" for n in (0, 1, 2, 3, 7)}
         await asyncio.sleep(75.0)
         node = world.nodes[await world.led()]
-        assert node.cluster_state.by_id["wk-000001"].done == 25
+        assert node.cluster_state.jobs_by_id["wk-000001"].done_count == 25
         assert (
             world.judge.answers.get("wk-000002")
-            or node.cluster_state.by_id["wk-000002"].final == "done"
+            or node.cluster_state.jobs_by_id["wk-000002"].final_status == "done"
         )
         assert "all that waits has failed before" in why(
-            node, node.cluster_state.by_id["wk-000001"], now()
+            node, node.cluster_state.jobs_by_id["wk-000001"], now()
         )
         world.bad_tasks.clear()
         await world.until_over(100.0)
@@ -169,8 +169,8 @@
         await still
         node = world.nodes[old]
         await asyncio.sleep(0.1)
-        assert node.pause_detector.stood_s >= for_s - 1.0
-        assert not node.election.leading or for_s < 3.0
+        assert node.pause_detector.last_pause_s >= for_s - 1.0
+        assert not node.election.is_leader or for_s < 3.0
         status, got = await world.ask_admin(old, "status")
         assert status == 200
         assert got["leader"] == world.leader or world.leader is None
--- a/tests/world.py
+++ b/tests/world.py
@@ -300,7 +300,7 @@
 
     @property
     def leader(self) -> str | None:
-        return next((n for n, node in self.nodes.items() if node.election.leading), None)
+        return next((n for n, node in self.nodes.items() if node.election.is_leader), None)
 
     async def led(self) -> str:
         while self.leader is None:
