--- a/petrelthread/admin/__init__.py
+++ b/petrelthread/admin/__init__.py
@@ -1,6 +1,19 @@
 """The administration API: what operators may see and change, through any controller."""
 
 from petrelthread.admin.api import Admin
-from petrelthread.admin.setting_definitions import KNOBS, Knob, OptionError, check, with_defaults
+from petrelthread.admin.setting_definitions import (
+    SETTING_DEFINITIONS,
+    InvalidSettingError,
+    SettingDefinition,
+    validate_setting,
+    with_defaults,
+)
 
-__all__ = ["KNOBS", "Admin", "Knob", "OptionError", "check", "with_defaults"]
+__all__ = [
+    "SETTING_DEFINITIONS",
+    "Admin",
+    "InvalidSettingError",
+    "SettingDefinition",
+    "validate_setting",
+    "with_defaults",
+]
--- a/petrelthread/admin/alerts.py
+++ b/petrelthread/admin/alerts.py
@@ -12,38 +12,38 @@
 
 log = logging.getLogger(__name__)
 
-SURE_S = 2.0  # it has lasted so long before it is told of, so that no flicker floods the log
-LIMIT_FELT_S = 10.0  # since a limit was last met
-STATE_S = 3.0  # without an answer of the state service
+RAISE_AFTER_S = 2.0  # it has lasted so long before it is told of, so that no flicker floods the log
+LIMIT_ALERT_S = 10.0  # since a limit was last met
+STATE_SERVICE_TIMEOUT_S = 3.0  # without an answer of the state service
 
 
-class Trouble(NamedTuple):
+class Alert(NamedTuple):
     since: float
-    told: bool
+    reported: bool
 
 
-def now_wrong(node: Controller, now: float) -> dict[str, str]:
+def active_conditions(node: Controller, now: float) -> dict[str, str]:
     """By kind, so that a count that changes is the same trouble still."""
     out: dict[str, str] = {}
     election = node.election
     silent_s = now - node.watch_cache.current_as_of
     if not node.watch_cache.loaded.is_set():
         out["state"] = "this node has not yet read the state service"
-    elif silent_s > STATE_S:
+    elif silent_s > STATE_SERVICE_TIMEOUT_S:
         out["state"] = "the state service does not answer this node: nothing is accepted or started"
     elif election.leader is None:
         out["leader"] = "there is no leader: nothing is started"
     if now - node.pause_detector.resumed_at < 10.0:
         out["still"] = f"this node stood still for {node.pause_detector.last_pause_s:.0f} s"
-    if now - node.gate.last_shed_at < LIMIT_FELT_S:
+    if now - node.load_shedder.last_shed_at < LIMIT_ALERT_S:
         out["processor"] = (
             "limit reached, processor: more requests come than this node can serve,"
-            f" {node.gate.shed} turned away so far"
+            f" {node.load_shedder.shed} turned away so far"
         )
-    if now - node.gate.last_refused_at < LIMIT_FELT_S:
+    if now - node.load_shedder.last_refused_at < LIMIT_ALERT_S:
         out["sockets"] = (
             "limit reached, sockets of the public address:"
-            f" {node.gate.refused_connections} connections refused so far"
+            f" {node.load_shedder.refused_connections} connections refused so far"
         )
     if not election.is_leader:
         return out
@@ -74,31 +74,32 @@
     if reserved:
         out["held"] = f"{reserved} jobs should have begun: a machine is kept for each"
     cut = ", ".join(
-        node.cluster_state.names.zones.name(zone) for zone in sorted(node.zone_watch.cut_off_since)
+        node.cluster_state.names.zones.name(zone)
+        for zone in sorted(node.zone_monitor.cut_off_since)
     )
     if cut:
         out["zones"] = f"cut off: {cut}"
     return out
 
 
-class Troubles:
+class AlertTracker:
     """Since when each trouble lasts; tells of each when it begins and when it is over."""
 
     def __init__(self) -> None:
-        self.lasting: dict[str, Trouble] = {}
+        self.active: dict[str, Alert] = {}
 
     def update(self, wrong: dict[str, str], now: float) -> None:
         for kind, text in wrong.items():
-            trouble = self.lasting.setdefault(kind, Trouble(now, False))
-            if not trouble.told and now - trouble.since >= SURE_S:
-                self.lasting[kind] = Trouble(trouble.since, True)
+            trouble = self.active.setdefault(kind, Alert(now, False))
+            if not trouble.reported and now - trouble.since >= RAISE_AFTER_S:
+                self.active[kind] = Alert(trouble.since, True)
                 log.warning("trouble: %s", text)
-        for kind in [kind for kind in self.lasting if kind not in wrong]:
-            trouble = self.lasting.pop(kind)
-            if trouble.told:
+        for kind in [kind for kind in self.active if kind not in wrong]:
+            trouble = self.active.pop(kind)
+            if trouble.reported:
                 log.info("trouble over after %.0f s: %s", now - trouble.since, kind)
 
-    def since(self, kind: str, now: float) -> float:
+    def duration_s(self, kind: str, now: float) -> float:
         """How many seconds it has lasted."""
-        trouble = self.lasting.get(kind)
+        trouble = self.active.get(kind)
         return now - trouble.since if trouble else 0.0
--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -10,7 +10,12 @@
 
 from petrelthread import protocol
 from petrelthread.admin import views
-from petrelthread.admin.setting_definitions import KNOBS, OptionError, check, with_defaults
+from petrelthread.admin.setting_definitions import (
+    SETTING_DEFINITIONS,
+    InvalidSettingError,
+    validate_setting,
+    with_defaults,
+)
 from petrelthread.http import NoResponseError, Response, json_response
 from petrelthread.http.server import error_response
 from petrelthread.store import (
@@ -76,8 +81,16 @@
         stored = self._node.cluster_state.options or {"values": {}, "stamp": 0}
         values = with_defaults(stored["values"])
         shown = [
-            {"name": name, "value": values[name], "set": name in stored["values"], **knob._asdict()}
-            for name, knob in KNOBS.items()
+            {
+                "name": name,
+                "value": values[name],
+                "set": name in stored["values"],
+                "default": definition.default,
+                "least": definition.minimum,
+                "most": definition.maximum,
+                "says": definition.description,
+            }
+            for name, definition in SETTING_DEFINITIONS.items()
         ]
         return json_response(200, {"version": stored["stamp"], "settings": shown})
 
@@ -90,10 +103,10 @@
         if not isinstance(name, str) or not isinstance(version, int):
             return error_response(400, "name must be a string and version a whole number")
         try:
-            number = None if value is None else check(name, value)
-            if value is None and name not in KNOBS:
-                raise OptionError(f"unknown setting {name}")
-        except OptionError as error:
+            number = None if value is None else validate_setting(name, value)
+            if value is None and name not in SETTING_DEFINITIONS:
+                raise InvalidSettingError(f"unknown setting {name}")
+        except InvalidSettingError as error:
             return error_response(400, str(error))
         if not await self._node.watch_cache.refresh():
             return error_response(503, "state service unreachable", 2)
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from petrelthread import protocol
-from petrelthread.admin.alerts import STATE_S
+from petrelthread.admin.alerts import STATE_SERVICE_TIMEOUT_S
 from petrelthread.fleet import Health
 from petrelthread.scheduling.bin_packing import zone_headroom
 from petrelthread.state import Attempt, Job, OperationState
@@ -16,30 +16,30 @@
 EPSILON = 1e-6  # of sums of cores
 
 
-def lost(node: Controller, attempt: Attempt) -> bool:
+def is_unreachable(node: Controller, attempt: Attempt) -> bool:
     """Its machine is silent or on its way back: it may still run there."""
     machine = node.fleet.machines.get(attempt.machine)
     return machine is not None and machine.health in (Health.UNRESPONSIVE, Health.TERMINATING)
 
 
-def serving(node: Controller, job: Job) -> int:
+def serving_replicas(node: Controller, job: Job) -> int:
     """How many replicas of a service run where they can be reached."""
     return sum(
         a.reported_state == protocol.RUNNING
         and a.state is OperationState.CONFIRMED
-        and not lost(node, a)
+        and not is_unreachable(node, a)
         for a in job.live_attempts.values()
     )
 
 
-def why(node: Controller, job: Job, now: float) -> str:
+def explain_waiting(node: Controller, job: Job, now: float) -> str:
     """The first cause that holds, from the service as a whole down to the job's own machines."""
     if job.final_status is not None:
         return f"It is over: {job.final_status}."
-    if now - node.watch_cache.current_as_of > STATE_S:
+    if now - node.watch_cache.current_as_of > STATE_SERVICE_TIMEOUT_S:
         return "The state service does not answer, and nothing is started without it."
     if node.election.leader is None:
-        since_s = node.troubles.since("leader", now)
+        since_s = node.alerts.duration_s("leader", now)
         return f"There is no leader since {since_s:.0f} s, and nothing is started without one."
     done = _progress(node, job)
     if job.pending_count == 0:
@@ -59,14 +59,16 @@
 
 def _progress(node: Controller, job: Job) -> str:
     if job.is_service:
-        return f"{serving(node, job)} of {job.task_count} replicas running"
+        return f"{serving_replicas(node, job)} of {job.task_count} replicas running"
     return f"{job.done_count} of {job.task_count} tasks done, {_running(job)} running"
 
 
 def _nothing_waits(node: Controller, job: Job, done: str, now: float) -> str:
     live = list(job.live_attempts.values())
     unknown = [
-        a for a in live if a.state is OperationState.UNKNOWN or (job.is_service and lost(node, a))
+        a
+        for a in live
+        if a.state is OperationState.UNKNOWN or (job.is_service and is_unreachable(node, a))
     ]
     if unknown:
         machine = node.fleet.machines.get(unknown[0].machine)
@@ -160,7 +162,7 @@
         tail += f"; {late} are late in booting"
     if not node.view.has_goals(job):
         tail += "; it has neither a deadline nor an objective, and others' work comes first"
-    if node.zone_watch.cut_off_since:
-        cut = ", ".join(names.zones.name(zone) for zone in sorted(node.zone_watch.cut_off_since))
+    if node.zone_monitor.cut_off_since:
+        cut = ", ".join(names.zones.name(zone) for zone in sorted(node.zone_monitor.cut_off_since))
         tail += f"; cut off: {cut}"
     return tail
--- a/petrelthread/admin/setting_definitions.py
+++ b/petrelthread/admin/setting_definitions.py
@@ -10,55 +10,81 @@
 _RENTAL = ProvisioningOptions()
 
 
-class Knob(NamedTuple):
+class SettingDefinition(NamedTuple):
     default: float
-    least: float
-    most: float
-    says: str
+    minimum: float
+    maximum: float
+    description: str
 
 
-KNOBS: dict[str, Knob] = {
-    "spot_drain_s": Knob(_RENTAL.spot_drain_s, 5, 3600, "rent spot until backlog drains in this"),
-    "dear_drain_s": Knob(_RENTAL.dear_drain_s, 5, 3600, "rent ordinary until it drains in this"),
-    "patient_drain_s": Knob(
+SETTING_DEFINITIONS: dict[str, SettingDefinition] = {
+    "spot_drain_s": SettingDefinition(
+        _RENTAL.spot_drain_s, 5, 3600, "rent spot until backlog drains in this"
+    ),
+    "dear_drain_s": SettingDefinition(
+        _RENTAL.dear_drain_s, 5, 3600, "rent ordinary until it drains in this"
+    ),
+    "patient_drain_s": SettingDefinition(
         _RENTAL.patient_drain_s, 5, 36000, "rent ordinary for work without goals until it drains"
     ),
-    "due_share": Knob(_RENTAL.due_share, 0.1, 1, "share of the time until due to plan work into"),
-    "due_least_s": Knob(_RENTAL.due_least_s, 5, 3600, "plan nothing as due sooner than this"),
-    "keep_share": Knob(_RENTAL.keep_share, 0.05, 1, "keep ordinary machines until this share"),
-    "dear_fill": Knob(_RENTAL.dear_fill, 0, 1, "share of an ordinary machine that must be needed"),
-    "idle_s": Knob(_RENTAL.idle_s, 0, 3600, "return idle surplus spot machines after this"),
-    "dear_idle_s": Knob(_RENTAL.dear_idle_s, 0, 3600, "return idle ordinary machines after this"),
-    "reserve_share": Knob(_RENTAL.reserve_share, 0, 5, "share of late urgent demand kept ready"),
-    "round_gap_s": Knob(0.25, 0.05, 10, "least gap between placement rounds"),
-    "round_budget_s": Knob(0.05, 0.005, 1, "time one round of decisions may take"),
+    "due_share": SettingDefinition(
+        _RENTAL.due_share, 0.1, 1, "share of the time until due to plan work into"
+    ),
+    "due_least_s": SettingDefinition(
+        _RENTAL.due_least_s, 5, 3600, "plan nothing as due sooner than this"
+    ),
+    "keep_share": SettingDefinition(
+        _RENTAL.keep_share, 0.05, 1, "keep ordinary machines until this share"
+    ),
+    "dear_fill": SettingDefinition(
+        _RENTAL.dear_fill, 0, 1, "share of an ordinary machine that must be needed"
+    ),
+    "idle_s": SettingDefinition(
+        _RENTAL.idle_s, 0, 3600, "return idle surplus spot machines after this"
+    ),
+    "dear_idle_s": SettingDefinition(
+        _RENTAL.dear_idle_s, 0, 3600, "return idle ordinary machines after this"
+    ),
+    "reserve_share": SettingDefinition(
+        _RENTAL.reserve_share, 0, 5, "share of late urgent demand kept ready"
+    ),
+    "round_gap_s": SettingDefinition(0.25, 0.05, 10, "least gap between placement rounds"),
+    "round_budget_s": SettingDefinition(0.05, 0.005, 1, "time one round of decisions may take"),
 }
 
 
-class OptionError(Exception):
+class InvalidSettingError(Exception):
     """The change is refused; the text gives reason and allowed range."""
 
 
-def check(name: str, value: Any) -> float:
-    knob = KNOBS.get(name)
-    if knob is None:
-        raise OptionError(f"unknown setting {name}; known: {', '.join(KNOBS)}")
+def validate_setting(name: str, value: Any) -> float:
+    definition = SETTING_DEFINITIONS.get(name)
+    if definition is None:
+        raise InvalidSettingError(
+            f"unknown setting {name}; known: {', '.join(SETTING_DEFINITIONS)}"
+        )
     number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not math.isfinite(value) or not knob.least <= value <= knob.most:
-        raise OptionError(f"{name}: a number from {knob.least:g} to {knob.most:g}, got {value!r}")
+    if (
+        not number
+        or not math.isfinite(value)
+        or not definition.minimum <= value <= definition.maximum
+    ):
+        raise InvalidSettingError(
+            f"{name}: a number from {definition.minimum:g} to {definition.maximum:g}, got {value!r}"
+        )
     return float(value)
 
 
 def with_defaults(stored: dict[str, Any]) -> dict[str, float]:
     """What is in force. Stored values that are not valid (any more) count as not set."""
-    values = {name: float(knob.default) for name, knob in KNOBS.items()}
+    values = {name: float(definition.default) for name, definition in SETTING_DEFINITIONS.items()}
     for name, value in stored.items():
         try:
-            values[name] = check(name, value)
-        except OptionError:
+            values[name] = validate_setting(name, value)
+        except InvalidSettingError:
             continue
     return values
 
 
-def rental_options(values: dict[str, float]) -> ProvisioningOptions:
+def provisioning_options(values: dict[str, float]) -> ProvisioningOptions:
     return ProvisioningOptions(**{name: values[name] for name in ProvisioningOptions._fields})
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelthread import protocol
-from petrelthread.admin.alerts import STATE_S, now_wrong
-from petrelthread.admin.explain import serving, why
+from petrelthread.admin.alerts import STATE_SERVICE_TIMEOUT_S, active_conditions
+from petrelthread.admin.explain import explain_waiting, serving_replicas
 from petrelthread.fleet import Health
 from petrelthread.state import Job, OperationState
 
@@ -24,7 +24,7 @@
             "state_service": heard.heartbeat.state_service_ok,
             "workers_heard": heard.heartbeat.worker_heartbeats,
         }
-        for name, heard in sorted(node.heartbeats.last_received.items())
+        for name, heard in sorted(node.peer_monitor.last_received.items())
     ]
     use = node.view.team_usage()
     backlog: dict[str, dict[str, int]] = {}
@@ -38,14 +38,14 @@
         entry["running"] += len(job.live_attempts)
         if job.is_service:
             entry["replicas"] = entry.get("replicas", 0) + job.task_count
-            entry["serving"] = entry.get("serving", 0) + serving(node, job)
+            entry["serving"] = entry.get("serving", 0) + serving_replicas(node, job)
     return {
         "node": node.settings.host_name,
         "role": election.role.value,
         "leader": election.leader_name,
         "epoch": election.highest_known_epoch,
         "token": election.fencing_token if election.may_answer_workers else None,
-        "state_service": now - node.watch_cache.current_as_of < STATE_S,
+        "state_service": now - node.watch_cache.current_as_of < STATE_SERVICE_TIMEOUT_S,
         "siblings": siblings,
         "zones": zones(node),
         "machines": _machines(node),
@@ -61,8 +61,8 @@
         ],
         "backlog": backlog,
         "troubles": [
-            {"trouble": text, "for_s": round(node.troubles.since(kind, now), 1)}
-            for kind, text in now_wrong(node, now).items()
+            {"trouble": text, "for_s": round(node.alerts.duration_s(kind, now), 1)}
+            for kind, text in active_conditions(node, now).items()
         ],
     }
 
@@ -86,7 +86,7 @@
         count = {health: sum(m.health is health for m in here) for health in Health}
         up, silent = count[Health.UP] + count[Health.DRAINING], count[Health.UNRESPONSIVE]
         says = "serving" if up else "no machines"
-        if index in node.zone_watch.cut_off_since:
+        if index in node.zone_monitor.cut_off_since:
             says = "DOWN: cut off, nothing in it is heard; nothing is rented there"
         elif silent and not up:
             says = "DOWN: none of its machines reports"
@@ -155,5 +155,5 @@
         "done": job.done_count,
         "waiting": job.pending_count if job.final_status is None else 0,
         "age_s": round(time.time() - job.accepted_at, 1),
-        "why": why(node, job, now),
+        "why": explain_waiting(node, job, now),
     }
--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -80,7 +80,7 @@
             report.tick += 1
             machine = node.fleet.on_heartbeat(report, now, answered=True)
             assert machine is not None
-            node.commands.for_heartbeat(machine, report, now)
+            node.command_planner.for_heartbeat(machine, report, now)
 
         def one_round() -> None:
             _change_some(leader)
@@ -88,8 +88,12 @@
 
         out = [
             _time("unchanged report", machines, unchanged_report, min(machines, 500)),
-            _time("check for silence", machines, lambda: node.silence.check(now, 14.0), 30),
-            _time("overdue reports", machines, lambda: node.silence.overdue_machines(now), 30),
+            _time(
+                "check for silence", machines, lambda: node.failure_detector.check(now, 14.0), 30
+            ),
+            _time(
+                "overdue reports", machines, lambda: node.failure_detector.overdue_machines(now), 30
+            ),
         ]
         leader.accept(1, 0)
         node.scheduler.decide(now)
--- a/petrelthread/cli/operate.py
+++ b/petrelthread/cli/operate.py
@@ -10,10 +10,10 @@
 
 from petrelthread.settings import split_addr
 
-SHOWN_MOST = 8
+MAX_SHOWN = 8
 
 
-class Unreachable(Exception):
+class ControllerUnreachableError(Exception):
     pass
 
 
@@ -26,13 +26,13 @@
         reply = connection.getresponse()
         return reply.status, json.loads(reply.read())
     except (OSError, ValueError, http.client.HTTPException) as error:
-        raise Unreachable(f"controller {addr} cannot be reached: {error}") from None
+        raise ControllerUnreachableError(f"controller {addr} cannot be reached: {error}") from None
 
 
 def operate(args: argparse.Namespace) -> int:
     try:
         return _operate(args)
-    except Unreachable as error:
+    except ControllerUnreachableError as error:
         print(f"petrelthread: {error}", file=sys.stderr)
         return 1
 
@@ -118,8 +118,8 @@
         lines.append(f"TROUBLE for {trouble['for_s']:.0f} s: {trouble['trouble']}")
     # One screen: after a take-over there may be one for each of hundreds of machines.
     oldest = sorted(got["operations"], key=lambda op: -op["age_s"])
-    for op in oldest[:SHOWN_MOST]:
+    for op in oldest[:MAX_SHOWN]:
         lines.append(f"unknown: {op['operation']}, {op['age_s']} s; awaits {op['awaits']}")
-    if len(oldest) > SHOWN_MOST:
-        lines.append(f"unknown: {len(oldest) - SHOWN_MOST} more, all younger (--json lists them)")
+    if len(oldest) > MAX_SHOWN:
+        lines.append(f"unknown: {len(oldest) - MAX_SHOWN} more, all younger (--json lists them)")
     return "\n".join(lines)
--- a/petrelthread/cli/serve.py
+++ b/petrelthread/cli/serve.py
@@ -44,7 +44,7 @@
     )
     # A worker that has missed two reports is cut off, taken or with another controller.
     stale_s = 2.5 * settings.cluster.workers.report_s + 2.0
-    public = Server(controller.handle, sockets.public, stale_s, controller.gate)
+    public = Server(controller.handle, sockets.public, stale_s, controller.load_shedder)
     peers = Server(controller.handle_peer, sockets.peers)
     await public.listen(*split_addr(settings.bind))
     await peers.listen(*split_addr(settings.peer_listen))
--- a/petrelthread/controller.py
+++ b/petrelthread/controller.py
@@ -11,9 +11,9 @@
 
 from petrelthread import protocol
 from petrelthread.admin import Admin, with_defaults
-from petrelthread.admin.alerts import Troubles, now_wrong
+from petrelthread.admin.alerts import AlertTracker, active_conditions
 from petrelthread.admin.api import PREFIX as ADMIN_PREFIX
-from petrelthread.admin.setting_definitions import rental_options
+from petrelthread.admin.setting_definitions import provisioning_options
 from petrelthread.fleet import (
     CommandDispatcher,
     CommandPlanner,
@@ -25,7 +25,7 @@
 from petrelthread.fleet.failure_detector import FIND_LEADER_S
 from petrelthread.http import LoadShedder, Response, json_response
 from petrelthread.http.server import error_response
-from petrelthread.job_api import Intake
+from petrelthread.job_api import JobApi
 from petrelthread.leadership import ACTIVE_ROLES, Election, Role
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
@@ -48,18 +48,18 @@
 
 log = logging.getLogger(__name__)
 
-STATE_SHARE = 0.9  # of the state service's limits, over all controllers
-UNHEARD_S = 10.0  # a sibling not heard for so long is likely to write nothing
-LEND_AFTER_S = 20.0  # since the start, and since the service last refused us for our rate
+STATE_SERVICE_SHARE = 0.9  # of the state service's limits, over all controllers
+PEER_TIMEOUT_S = 10.0  # a sibling not heard for so long is likely to write nothing
+BORROW_AFTER_S = 20.0  # since the start, and since the service last refused us for our rate
 CLEAN_UP_KEEPS = 0.5  # of the write burst that dropping settled records leaves untouched
 ABSTAIN_S = 15.0
 READY_S = 3.0
-LOAD_EVERY_S = 5.0
-SILENCE_EVERY_S = 0.5
-HOUSEKEEPING_S = 0.5
+LOAD_LOG_INTERVAL_S = 5.0
+FAILURE_CHECK_INTERVAL_S = 0.5
+HOUSEKEEPING_INTERVAL_S = 0.5
 READ_WORKERS_S = 15.0  # after its election a leader reads workers that do not come by themselves
-COMMANDS_AT_ONCE = 24
-PLAN_GAP_S = 0.5  # between two rental plans, at least,
+MAX_CONCURRENT_COMMANDS = 24
+PLAN_INTERVAL_S = 0.5  # between two rental plans, at least,
 PLAN_SHARE = 0.1  # and as much longer as keeps planning within this share of the time
 # The leader stores the catalogue for all. When each controller asked the cloud itself at the start,
 # that took most of the burst of calls that the first rentals needed.
@@ -73,7 +73,7 @@
         request: Request,
         randomness: random.Random,
         commands: Request | None = None,
-        commands_at_once: int = COMMANDS_AT_ONCE,
+        commands_at_once: int = MAX_CONCURRENT_COMMANDS,
         lease_request: Request | None = None,
     ) -> None:
         """``commands``: what carries requests to workers, if not ``request``. ``lease_request``:
@@ -82,11 +82,13 @@
         cluster = settings.cluster
         workers = cluster.workers
         nodes = max(1, cluster.count)
-        reads = cluster.state.rps * STATE_SHARE / nodes
+        reads = cluster.state.rps * STATE_SERVICE_SHARE / nodes
         self._reads = TokenBucket(reads, reads / 2)
         self._write_limit = cluster.state.write_rps
         self._write_rates = WriteRates.divide(self._write_limit, nodes)
-        self._writes = TokenBucket(self._write_limit * STATE_SHARE / nodes, self._write_rates.burst)
+        self._writes = TokenBucket(
+            self._write_limit * STATE_SERVICE_SHARE / nodes, self._write_rates.burst
+        )
         self.write_quota = WriteQuota(self._write_rates.follower)
         self._writes_of_late = 0.0
         self._started_at = float("inf")
@@ -122,13 +124,13 @@
             lambda: self.provisioner.machine_types,
             estimates,
         )
-        self.silence = FailureDetector(self.fleet)
-        self.commands = CommandPlanner(self.fleet)
-        self.check_ins = HeartbeatHandler(
-            settings.host_name, self.election, self.fleet, self.commands
+        self.failure_detector = FailureDetector(self.fleet)
+        self.command_planner = CommandPlanner(self.fleet)
+        self.heartbeat_handler = HeartbeatHandler(
+            settings.host_name, self.election, self.fleet, self.command_planner
         )
         self.dispatch = CommandDispatcher(
-            self.fleet, self.silence, commands or request, commands_at_once
+            self.fleet, self.failure_detector, commands or request, commands_at_once
         )
         self.dispatch.may_start_tasks = lambda: self.election.may_start_tasks
         self.scheduler = Scheduler(
@@ -146,7 +148,7 @@
             request, settings.endpoints.cloud, TokenBucket(cloud_rate, 2 * cloud_rate)
         )
         self.options = ProvisioningOptions()
-        self.zone_watch = ZoneMonitor(workers.report_s)
+        self.zone_monitor = ZoneMonitor(workers.report_s)
         self.provisioner = Provisioner(
             settings,
             self.cluster_state,
@@ -157,16 +159,16 @@
             self.view,
             lambda: self.options,
             lambda: self.election.is_leader,
-            self.zone_watch.cut_off_since,
+            self.zone_monitor.cut_off_since,
         )
         self.fleet.on_change = self.scheduler.wake.set
         self.fleet.on_replicas_lost = self.provisioner.wake.set
         self.fleet.on_run_time = estimates.learn
         self.fleet.image_cache_gb = self._cache_gb
-        self.intake = Intake(
+        self.job_api = JobApi(
             settings, self.cluster_state, self.watch_cache, state, self.provisioner.catalog
         )
-        self.heartbeats = PeerMonitor(
+        self.peer_monitor = PeerMonitor(
             settings.siblings,
             request,
             self._heartbeat,
@@ -174,9 +176,9 @@
             self._lend,
             self.write_quota.record_loan,
         )
-        self.pause_detector = PauseDetector(self._on_still)
-        self.gate = LoadShedder()  # of requests to the public address
-        self.troubles = Troubles()
+        self.pause_detector = PauseDetector(self._on_process_resumed)
+        self.load_shedder = LoadShedder()  # of requests to the public address
+        self.alerts = AlertTracker()
         self.admin = Admin(self, request)
         self._silent_s = 2.5 * workers.report_s + 4.0
 
@@ -186,9 +188,9 @@
 
     # ---- what the state service shows ----------------------------------------------------------
 
-    def _on_key(self, key: str, value: Any, stamp: int) -> None:
+    def _on_key(self, key: str, value: Any, revision: int) -> None:
         if key in ("lead", "epoch"):
-            self.election.on_key(key, value, stamp)
+            self.election.on_key(key, value, revision)
             return
         if key == "catalog" and value is not None:
             try:
@@ -203,7 +205,7 @@
         acting = self.election.role in ACTIVE_ROLES
         if acting and kind == "r" and value is not None and self._own_round(int(rest), value):
             return
-        self.cluster_state.on_key(key, value, stamp)
+        self.cluster_state.on_key(key, value, revision)
         if kind == "j" and len(self.cluster_state.jobs) > before and leading:
             job = self.cluster_state.jobs[-1]
             now = asyncio.get_running_loop().time()
@@ -229,7 +231,7 @@
 
     def _apply_options(self, stored: dict[str, Any]) -> None:
         values = with_defaults(stored)
-        self.options = rental_options(values)
+        self.options = provisioning_options(values)
         self.scheduler.round_interval_s = values["round_gap_s"]
         self.scheduler.round_budget_s = values["round_budget_s"]
         log.info("operators' settings: %s", stored or "all at their defaults")
@@ -257,8 +259,8 @@
         self.fleet.fencing_token = self.election.fencing_token
         self.scheduler.fail_over(epoch)
         self.provisioner.fail_over(now)
-        self.zone_watch.clear()
-        self.check_ins.reset_recent()
+        self.zone_monitor.clear()
+        self.heartbeat_handler.reset_recent()
         unknown = sum(len(there) for there in self.cluster_state.attempts_by_machine.values())
         log.info(
             "take-over with epoch %d: state read up to revision %d (%.2f s ago);"
@@ -272,12 +274,12 @@
         )
         self.scheduler.wake.set()
 
-    def _on_still(self, stood_s: float, now: float) -> None:
+    def _on_process_resumed(self, stood_s: float, now: float) -> None:
         """Judge anew what may be older than it looks."""
         self.election.on_process_resumed()
         self.fleet.resumed_at = now
-        self.heartbeats.last_received.clear()
-        self.check_ins.reset_recent()
+        self.peer_monitor.last_received.clear()
+        self.heartbeat_handler.reset_recent()
 
     def _heartbeat(self) -> PeerHeartbeat:
         now = asyncio.get_running_loop().time()
@@ -286,7 +288,7 @@
             self.election.highest_known_epoch,
             self.election.is_leader,
             now - self.watch_cache.current_as_of < READY_S,
-            self.check_ins.recent_count(now),
+            self.heartbeat_handler.recent_count(now),
             self.settings.zone,
             requested_write_rate=self.write_quota.base
             if self._writes.is_low(now) and self._may_ask(now)
@@ -311,8 +313,8 @@
         """
         if self.election.role not in ACTIVE_ROLES:
             return True
-        refused = now - self.state.rate_limited_at < LEND_AFTER_S
-        return not refused and now - self._started_at > LEND_AFTER_S
+        refused = now - self.state.rate_limited_at < BORROW_AFTER_S
+        return not refused and now - self._started_at > BORROW_AFTER_S
 
     def _learn_write_limit(self) -> None:
         """A refused write shows that the service may have lowered its limit, as was announced."""
@@ -326,7 +328,7 @@
 
     def _set_write_rate(self, now: float) -> None:
         self._learn_write_limit()
-        unheard = len(self.settings.siblings) - len(self.heartbeats.recent(UNHEARD_S))
+        unheard = len(self.settings.siblings) - len(self.peer_monitor.recent(PEER_TIMEOUT_S))
         if self.election.role not in ACTIVE_ROLES or not self._may_ask(now):
             unheard = 0
         rates = self._write_rates
@@ -346,10 +348,12 @@
         path = target.partition("?")[0]
         if path == protocol.CHECKIN_PATH:
             return (
-                self.check_ins.handle(body) if method == "POST" else error_response(405, "use POST")
+                self.heartbeat_handler.handle(body)
+                if method == "POST"
+                else error_response(405, "use POST")
             )
         if path == protocol.JOBS_PATH or path.startswith(protocol.JOBS_PATH + "/"):
-            return await self.intake.handle(method, path, body)
+            return await self.job_api.handle(method, path, body)
         if path == protocol.READY_PATH:
             return self._ready() if method == "GET" else error_response(405, "use GET")
         return error_response(404, "no such path")
@@ -358,7 +362,7 @@
         self.pause_detector.check(asyncio.get_running_loop().time())
         path = target.partition("?")[0]
         if path == PEER_HEARTBEAT_PATH:
-            return await self.heartbeats.handle(method, body)
+            return await self.peer_monitor.handle(method, body)
         if path.startswith(ADMIN_PREFIX):
             return await self.admin.handle(method, target, body)
         return error_response(404, "no such path")
@@ -369,7 +373,7 @@
             return error_response(503, "still starting", 1)
         # Refused by the state service alone, others serve better. If it is down for all, to leave
         # would only add the way back to the outage.
-        alone = any(heartbeat.state_service_ok for heartbeat in self.heartbeats.recent(3.0))
+        alone = any(heartbeat.state_service_ok for heartbeat in self.peer_monitor.recent(3.0))
         if alone and now - self.watch_cache.current_as_of > READY_S:
             return error_response(503, "state service unreachable", 1)
         return json_response(200, {"ready": True})
@@ -381,7 +385,7 @@
         await asyncio.gather(
             self.watch_cache.follow(),
             self.election.run(),
-            self.heartbeats.run(),
+            self.peer_monitor.run(),
             self._round_loop(),
             self._provisioning_loop(),
             self._housekeeping(),
@@ -403,9 +407,9 @@
                 continue
             now = asyncio.get_running_loop().time()
             try:
-                if now - silence_at >= SILENCE_EVERY_S:
+                if now - silence_at >= FAILURE_CHECK_INTERVAL_S:
                     silence_at = now
-                    self.silence.check(now, self._silence_limit_s(now))
+                    self.failure_detector.check(now, self._silence_limit_s(now))
                     self.dispatch.probe(now)
                     await self._make_starts_void(now)
                 if self.scheduler.record_numbers_left() < MIN_RECORD_NUMBERS_LEFT:
@@ -432,7 +436,7 @@
         While reports are turned away for want of processor time their lack proves little: machines
         that were well were returned by the hundred. What the lease proves holds all the same.
         """
-        overloaded = now - self.gate.last_shed_at < self._silent_s
+        overloaded = now - self.load_shedder.last_shed_at < self._silent_s
         return max(self._silent_s, self.fleet.lease_s) if overloaded else self._silent_s
 
     async def _provisioning_loop(self) -> None:
@@ -446,7 +450,7 @@
             self.provisioner.wake.clear()
             now = asyncio.get_running_loop().time()
             self.pause_detector.check(now)
-            pause_s = PLAN_GAP_S
+            pause_s = PLAN_INTERVAL_S
             try:
                 if self.election.is_leader:
                     await self.provisioner.step(now)
@@ -477,16 +481,16 @@
         taken = 0.0
         while True:
             asked = loop.time()
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             now = loop.time()
             self.pause_detector.check(now)
-            self.troubles.update(now_wrong(self, now), now)
-            late_s = max(late_s, now - asked - HOUSEKEEPING_S)
+            self.alerts.update(active_conditions(self, now), now)
+            late_s = max(late_s, now - asked - HOUSEKEEPING_INTERVAL_S)
             lately = (self._writes.total_acquired - taken) / max(now - asked, 0.1)
             taken = self._writes.total_acquired
             self._writes_of_late += (lately - self._writes_of_late) * 0.3
             self._set_write_rate(now)
-            if now - told_at > LOAD_EVERY_S:
+            if now - told_at > LOAD_LOG_INTERVAL_S:
                 if self.election.is_leader and log.isEnabledFor(logging.DEBUG):
                     log.debug(
                         "load: %s; late by %.2f s at most; token %d, %d starts uncertain,"
@@ -504,7 +508,7 @@
             if self.election.is_leader:
                 self._judge_zones(now)
                 if now - self.election.elected_at < READ_WORKERS_S:
-                    self.dispatch.read_workers(now, late_s=now - asked - HOUSEKEEPING_S)
+                    self.dispatch.read_workers(now, late_s=now - asked - HOUSEKEEPING_INTERVAL_S)
 
     def _judge_zones(self, now: float) -> None:
         """Say plainly when a zone falls over, and when it is back."""
@@ -512,7 +516,7 @@
         nodes = {names.index(zone): heard for zone, heard in self._zones_heard().items()}
         machines = self.fleet.machines.values()
         begun = max(self.election.elected_at, self.pause_detector.resumed_at)
-        fallen, back = self.zone_watch.update(machines, nodes, begun, now)
+        fallen, back = self.zone_monitor.update(machines, nodes, begun, now)
         for zone in sorted(fallen):
             log.warning("zone %s is cut off: nothing in it is heard", names.name(zone))
         for zone in sorted(back):
@@ -520,7 +524,7 @@
 
     def _zones_heard(self) -> dict[str, bool]:
         """For each zone with controllers, whether one of them was heard lately."""
-        fresh = {heartbeat.node for heartbeat in self.heartbeats.recent(3.0)}
+        fresh = {heartbeat.node for heartbeat in self.peer_monitor.recent(3.0)}
         heard = {self.settings.zone: True} if self.settings.zone else {}
         for sibling in self.settings.siblings:
             if sibling.zone:
@@ -531,10 +535,10 @@
         """A leader that no worker reaches, while its siblings hear them, gives the lead away."""
         election = self.election
         begun = max(election.elected_at, self.pause_detector.resumed_at)
-        if not election.is_leader or now - begun < self.check_ins.window_s + FIND_LEADER_S:
+        if not election.is_leader or now - begun < self.heartbeat_handler.window_s + FIND_LEADER_S:
             return
-        if self.check_ins.recent_count(now) == 0:
-            heard = sum(heartbeat.worker_heartbeats for heartbeat in self.heartbeats.recent(3.0))
+        if self.heartbeat_handler.recent_count(now) == 0:
+            heard = sum(heartbeat.worker_heartbeats for heartbeat in self.peer_monitor.recent(3.0))
             if heard >= 2:
                 log.info("no worker reaches this node, siblings hear %d reports", heard)
                 await election.resign("workers do not reach this node", ABSTAIN_S)
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -13,7 +13,12 @@
 from petrelthread import protocol
 from petrelthread.http import Response, json_response
 from petrelthread.http.server import error_response
-from petrelthread.job_api.validation import CannotRun, NotYetKnown, TooLarge, check_runnable
+from petrelthread.job_api.validation import (
+    JobTooLargeError,
+    MachineTypesUnknownError,
+    UnschedulableJobError,
+    check_runnable,
+)
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState, Job
 from petrelthread.store import (
@@ -29,14 +34,14 @@
 
 log = logging.getLogger(__name__)
 
-QUEUE_MOST_S = 1.5  # a submission that would wait longer for its write is sent away at once
+MAX_QUEUE_WAIT_S = 1.5  # a submission that would wait longer for its write is sent away at once
 RETRY_S = 1
 OUTAGE_RETRY_S = 1
-BUSY_TRIES = 3  # writes refused for the service's rate alone take their turn again,
-BUSY_S = 0.2  # so soon; then the user is sent away
+MAX_RATE_LIMIT_RETRIES = 3  # writes refused for the service's rate alone take their turn again,
+RATE_LIMIT_RETRY_S = 0.2  # so soon; then the user is sent away
 
 
-class Intake:
+class JobApi:
     def __init__(
         self,
         settings: Settings,
@@ -83,17 +88,17 @@
         value = Job.encode(spec, time.time())
         try:
             if len(orjson.dumps(value)) > self._limits.value_kb * 1000:
-                raise TooLarge("the description is too large to keep")
+                raise JobTooLargeError("the description is too large to keep")
             check_runnable(spec, self._teams, self._machine_types())
-        except (TooLarge, CannotRun, NotYetKnown) as error:
+        except (JobTooLargeError, UnschedulableJobError, MachineTypesUnknownError) as error:
             # The watch cache may lag behind: an accepted job must never be told that it cannot run.
             if not await self._watch_cache.refresh():
                 return error_response(503, "state service unreachable", OUTAGE_RETRY_S)
             if spec.name_id in self._cluster_state.jobs_by_id:
                 return await self._state_of(spec.name_id)
-            if isinstance(error, TooLarge):
+            if isinstance(error, JobTooLargeError):
                 return error_response(400, str(error))
-            if isinstance(error, NotYetKnown):
+            if isinstance(error, MachineTypesUnknownError):
                 return error_response(503, str(error), RETRY_S)
             return error_response(422, str(error))
         if not self._watch_cache.loaded.is_set():
@@ -101,7 +106,7 @@
         now = asyncio.get_running_loop().time()
         writes = self._client.write_bucket
         wait_s = max(writes.wait_time_s(now), 0.0) + len(self._queue) / writes.rate
-        if wait_s > QUEUE_MOST_S:
+        if wait_s > MAX_QUEUE_WAIT_S:
             return error_response(429, "too many submissions", max(1, round(wait_s)))
         status = await self._create(spec, value)
         if status == 201:
@@ -157,10 +162,10 @@
                 # All controllers' shares together may exceed the service's burst for a moment. A
                 # user sent away for that came back only after the time that the users expect.
                 busy += 1
-                if busy > BUSY_TRIES:
+                if busy > MAX_RATE_LIMIT_RETRIES:
                     break
                 tries += 1
-                await asyncio.sleep(BUSY_S)
+                await asyncio.sleep(RATE_LIMIT_RETRY_S)
                 continue
             except (StateUnavailableError, Unsure, LeaseExpiredError) as error:
                 log.debug("submission not written: %s", error)
--- a/petrelthread/job_api/validation.py
+++ b/petrelthread/job_api/validation.py
@@ -8,15 +8,15 @@
 EPS = 1e-9
 
 
-class CannotRun(Exception):
+class UnschedulableJobError(Exception):
     """The job can never run; the text says why."""
 
 
-class TooLarge(Exception):
+class JobTooLargeError(Exception):
     """Its description exceeds what the state service keeps."""
 
 
-class NotYetKnown(Exception):
+class MachineTypesUnknownError(Exception):
     """Machine types are not known yet."""
 
 
@@ -25,18 +25,20 @@
 ) -> None:
     team = teams.get(spec.crew)
     if team is None:
-        raise CannotRun(f"unknown team {spec.crew}")
+        raise UnschedulableJobError(f"unknown team {spec.crew}")
     # Of an array one task has to fit the limit: the others can run after it.
     at_once = 1 if spec.shape == ARRAY else spec.legs
     cores, accelerators = at_once * spec.cores, at_once * spec.accelerators
     if cores > team.most_cores + EPS:
-        raise CannotRun(f"takes {cores:g} cores at once, team limit is {team.cpus_max:g}")
+        raise UnschedulableJobError(
+            f"takes {cores:g} cores at once, team limit is {team.cpus_max:g}"
+        )
     if accelerators > team.most_accelerators + EPS:
-        raise CannotRun(
+        raise UnschedulableJobError(
             f"takes {accelerators:g} accelerators at once, team limit is {team.gpus_max:g}"
         )
     if machine_types is None:
-        raise NotYetKnown("machine types are not known yet")
+        raise MachineTypesUnknownError("machine types are not known yet")
     for machine_type in machine_types:
         if spec.hulls is not None and machine_type.name not in spec.hulls:
             continue
@@ -48,4 +50,4 @@
             and spec.ram_gb <= machine_type.ram_gb + EPS
         ):
             return
-    raise CannotRun("a task fits no allowed machine type")
+    raise UnschedulableJobError("a task fits no allowed machine type")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -130,7 +130,7 @@
         assert world.leader is not None and world.leader not in inside
         zone = world.nodes[world.leader].cluster_state.names.zones.index("c")
         assert (
-            zone in world.nodes[world.leader].zone_watch.cut_off_since
+            zone in world.nodes[world.leader].zone_monitor.cut_off_since
         )  # said plainly which one fell
         leader = world.nodes[world.leader]
         zones = orjson.loads((await leader.handle_peer("GET", "/admin/v1/zones", b"")).body)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from petrelthread.admin.alerts import Troubles
+from petrelthread.admin.alerts import AlertTracker
 from petrelthread.admin.api import DIRECT
-from petrelthread.admin.explain import why
+from petrelthread.admin.explain import explain_waiting
 from petrelthread.emulator.worker import Worker
 from tests.test_faults import run
 from tests.world import NODES, SMALL, World, job
@@ -88,7 +88,7 @@
         assert tries_of(world, "wk-000001") <= begun + 2  # the new leader knows
         tries = [leg for leg in world.judge.started_at if leg.startswith("wk-000001/")]
         assert len(tries) < 12  # a full start, then one at a time
-        said = why(node, node.cluster_state.jobs_by_id["wk-000001"], now())
+        said = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
         assert "fails everywhere" in said, said
         await asyncio.sleep(40.0)
         good = [f"wk-{n:06d}" for n in range(3, 7)]
@@ -138,7 +138,7 @@
             world.judge.answers.get("wk-000002")
             or node.cluster_state.jobs_by_id["wk-000002"].final_status == "done"
         )
-        assert "all that waits has failed before" in why(
+        assert "all that waits has failed before" in explain_waiting(
             node, node.cluster_state.jobs_by_id["wk-000001"], now()
         )
         world.bad_tasks.clear()
@@ -249,13 +249,13 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
-    troubles = Troubles()
+    troubles = AlertTracker()
     troubles.update({"boots": "2 machines are late"}, 10.0)
     troubles.update({}, 11.0)  # a flicker is not worth a line
     assert not caplog.records
     for at in range(20, 40):
         troubles.update({"boots": f"{at} machines are late"}, float(at))
-    assert troubles.since("boots", 40.0) == 20.0
+    assert troubles.duration_s("boots", 40.0) == 20.0
     for at in range(40, 50):
         troubles.update({}, float(at))
     said = [record.getMessage() for record in caplog.records]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from petrelthread.admin.explain import why
+from petrelthread.admin.explain import explain_waiting
 from petrelthread.fleet import Health
 from tests.test_faults import run
 from tests.world import NODES, SMALL, World, job
@@ -254,7 +254,7 @@
         await asyncio.sleep(5.0)
         leader = await world.led()
         node = world.nodes[leader]
-        assert why(node, node.cluster_state.jobs_by_id["wk-000001"], now()).startswith(
+        assert explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now()).startswith(
             "4 of 4 replicas running"
         )
         _, seen = await world.ask_admin(leader, "status")
@@ -266,7 +266,7 @@
         assert machine is not None
         while machine.health not in (Health.UNRESPONSIVE, Health.TERMINATING):
             await asyncio.sleep(0.1)
-        said = why(node, node.cluster_state.jobs_by_id["wk-000001"], now())
+        said = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
         assert f"may be on {lost.name}" in said and "confirmed" in said, said
         world.net.cut.clear()
         await asyncio.sleep(15.0)
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -73,7 +73,7 @@
         node = world.nodes[await world.led()]
         usual = node._silence_limit_s(now())
         assert usual < world.workers.lease_s
-        node.gate.last_shed_at = now()
+        node.load_shedder.last_shed_at = now()
         assert node._silence_limit_s(now()) == world.workers.lease_s
         assert node._silence_limit_s(now() + usual + 1.0) == usual
 
