--- a/petrelthread/controller.py
+++ b/petrelthread/controller.py
@@ -26,7 +26,7 @@
 from petrelthread.http import LoadShedder, Response, json_response
 from petrelthread.http.server import error_response
 from petrelthread.job_api import JobApi
-from petrelthread.leadership import ACTIVE_ROLES, Election, Role
+from petrelthread.leadership import ACTIVE_ROLES, ClaimOutcome, ClaimWriter, Election, Role
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.peers.peer_monitor import PEER_HEARTBEAT_PATH
@@ -35,7 +35,7 @@
 from petrelthread.scheduling.cluster_view import ClusterView, RunTimeEstimates
 from petrelthread.scheduling.scheduler import MIN_RECORD_NUMBERS_LEFT, Scheduler
 from petrelthread.settings import Settings
-from petrelthread.state import ClaimOutcome, ClaimWriter, ClusterState, InternedNames, epoch_of
+from petrelthread.state import ClusterState, InternedNames, epoch_of
 from petrelthread.store import (
     KEY_PREFIX,
     Request,
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -9,8 +9,11 @@
 from enum import Enum
 from typing import Any
 
+import msgspec
+
 from petrelthread import protocol
 from petrelthread.leadership.fence import Fence
+from petrelthread.state.stored_records import LeaderRecord
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
@@ -75,7 +78,7 @@
         self.fencing_token = 0
         self._raising_to = 0  # the token whose writing is under way
         self.highest_known_epoch = 0  # the highest anyone has shown us
-        self.leader: dict[str, Any] | None = None  # the lead key's value
+        self.leader: LeaderRecord | None = None  # the lead key's value
         self.elected_at = 0.0
         self.abstain_until = 0.0
         self._fence_revision = 0  # revision of both keys as we wrote them, in one transaction
@@ -124,7 +127,7 @@
 
     @property
     def leader_name(self) -> str | None:
-        return self.leader["node"] if self.leader else None
+        return self.leader.node if self.leader else None
 
     def fence(self) -> Fence | None:
         """The conditions of every claim, or None when there is no right to claim."""
@@ -159,14 +162,15 @@
             self._stored_epoch, self._stored_epoch_revision = int(value), revision
             self.highest_known_epoch = max(self.highest_known_epoch, int(value))
         elif key == "lead":
-            self.leader = value
-            ours = value is not None and value["nonce"] == self._nonce
+            leader = None if value is None else msgspec.convert(value, LeaderRecord)
+            self.leader = leader
+            ours = leader is not None and leader.nonce == self._nonce
             if self.role in ACTIVE_ROLES and not ours and revision > self._fence_revision:
                 self._step_down("the lead key is gone or another's")
-            elif self.role in ACTIVE_ROLES and ours:
-                self._adopt_token(int(value["epoch"]), revision)
-            if value is not None:
-                self.observe_epoch(int(value["epoch"]))
+            elif self.role in ACTIVE_ROLES and leader is not None and ours:
+                self._adopt_token(leader.epoch, revision)
+            if leader is not None:
+                self.observe_epoch(leader.epoch)
         self.wake.set()
 
     def observe_epoch(self, epoch: int) -> None:
@@ -223,11 +227,11 @@
         if not self._watch_cache.loaded.is_set() or self._now() < self.abstain_until:
             return 0.2
         if self.leader is not None:
-            stale = self.leader["node"] == self._node_name and self.leader["nonce"] != self._nonce
+            stale = self.leader.node == self._node_name and self.leader.nonce != self._nonce
             if stale:
                 # An earlier life of this very node: it is dead, its lease need not run out.
                 log.info("leadership: ending the lease of an earlier life of this node")
-                await self._revoke(int(self.leader["lease"]))
+                await self._revoke(self.leader.lease)
                 await self._watch_cache.refresh()
             return 0.2
         await asyncio.sleep(self._random.uniform(0.0, 0.15))
@@ -246,13 +250,13 @@
             raise
         epoch = self._stored_epoch + 1
         self._nonce = f"{self._node_name}-{self._random.getrandbits(64):016x}"
-        value = {"node": self._node_name, "nonce": self._nonce, "epoch": epoch, "lease": lease}
+        record = LeaderRecord(self._node_name, self._nonce, epoch, lease)
         conditions = [
             protocol.Condition(KEY_PREFIX + "lead", 0),
             protocol.Condition(KEY_PREFIX + "epoch", self._stored_epoch_revision),
         ]
         ops = [
-            protocol.PutOperation(KEY_PREFIX + "lead", value, lease),
+            protocol.PutOperation(KEY_PREFIX + "lead", record, lease),
             protocol.PutOperation(KEY_PREFIX + "epoch", epoch),
         ]
         try:
@@ -264,7 +268,7 @@
         except StateResultUnknownError:
             stamp = 0
             if await self._watch_cache.refresh() and self.leader is not None:
-                mine = self.leader["nonce"] == self._nonce
+                mine = self.leader.nonce == self._nonce
                 stamp = self._watch_cache.revisions["lead"] if mine else 0
             if not stamp:
                 # The transaction may come late. Without its lease it cannot be applied.
@@ -318,9 +322,9 @@
         fence, lease = self.fence(), self._lease
         if fence is None or lease is None:
             return True
-        value = {"node": self._node_name, "nonce": self._nonce, "epoch": token, "lease": lease}
+        record = LeaderRecord(self._node_name, self._nonce, token, lease)
         ops = [
-            protocol.PutOperation(KEY_PREFIX + "lead", value, lease),
+            protocol.PutOperation(KEY_PREFIX + "lead", record, lease),
             protocol.PutOperation(KEY_PREFIX + "epoch", token),
         ]
         try:
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -8,8 +8,11 @@
 from collections.abc import Callable, Collection
 from typing import Any
 
+import msgspec
+
 from petrelthread import protocol
 from petrelthread.fleet import Fleet, Health, Machine
+from petrelthread.leadership import ClaimOutcome, ClaimWriter
 from petrelthread.provisioning.cloud import (
     CloudClient,
     CloudResultUnknownError,
@@ -30,7 +33,8 @@
 from petrelthread.scheduling.cluster_view import ClusterView
 from petrelthread.scheduling.scheduler import Scheduler
 from petrelthread.settings import Settings
-from petrelthread.state import ClaimOutcome, ClaimWriter, ClusterState, OperationState, transition
+from petrelthread.state import ClusterState, OperationState, transition
+from petrelthread.state.stored_records import ScaleOutRecord
 from petrelthread.store import KEY_PREFIX
 
 log = logging.getLogger(__name__)
@@ -128,13 +132,13 @@
         self._serial = 0
         self._listed_at = float("-inf")
         self.forecast.fail_over(now)
-        for charter, value in self._cluster_state.scale_out_records.items():
-            op = CloudOperation(f"c/{charter}", value, OperationState.UNKNOWN)
+        for idempotency_key, record in self._cluster_state.scale_out_records.items():
+            op = CloudOperation(f"c/{idempotency_key}", record, OperationState.UNKNOWN)
             op.unknown_at = now
             self.operations[op.key] = op
-            if value.get("m") is not None:
+            if record.machine_names is not None:
                 transition(op, OperationState.CONFIRMED)
-                self._machines_of(op, value["m"], now)
+                self._machines_of(op, record.machine_names, now)
         for number, names in self._cluster_state.scale_in_records.items():
             op = CloudOperation(f"x/{number}", names, OperationState.UNKNOWN)
             op.unknown_at = now
@@ -144,16 +148,18 @@
                 if machine.health is not Health.TERMINATED:
                     machine.transition(Health.TERMINATING)
 
-    def _machines_of(self, op: CloudOperation, names: list[str], now: float) -> None:
-        value = op.value
+    def _machines_of(self, op: CloudOperation, names: Collection[str], now: float) -> None:
+        record: ScaleOutRecord = op.value
         for name in names:
             machine = self._fleet.get_or_add(name, now)
             if not machine.scale_out_key:
                 machine.scale_out_key = op.key
-                machine.machine_type = self._cluster_state.names.machine_types.index(value["t"])
-                machine.zone = self._cluster_state.names.zones.index(value["z"])
-                machine.spot = bool(value["s"])
-                machine.rented_at = now - max(0.0, time.time() - float(value["at"]))
+                machine.machine_type = self._cluster_state.names.machine_types.index(
+                    record.machine_type
+                )
+                machine.zone = self._cluster_state.names.zones.index(record.zone)
+                machine.spot = record.spot
+                machine.rented_at = now - max(0.0, time.time() - record.requested_at)
 
     # ---- the loop ----------------------------------------------------------------------------
 
@@ -197,7 +203,7 @@
             if op.key.startswith("x/"):
                 await self._send_scale_in(op, now)
                 continue
-            age_s = max(now - op.unknown_at, time.time() - float(op.value["at"]))
+            age_s = max(now - op.unknown_at, time.time() - op.value.requested_at)
             old = age_s > 4 * self._settings.cluster.cloud.list_lag_s + 5.0
             if self._cluster_state.open_jobs and not old:
                 # Still wanted: the same charter again rents nothing twice.
@@ -476,10 +482,10 @@
         for rental in list(self.operations.values()):
             if rental.state is not OperationState.CONFIRMED or not rental.key.startswith("c/"):
                 continue
-            left = [name for name in rental.value["m"] if name not in names]
-            if len(left) == len(rental.value["m"]):
+            left = [name for name in rental.value.machine_names if name not in names]
+            if len(left) == len(rental.value.machine_names):
                 continue
-            rental.value = {**rental.value, "m": left}
+            rental.value = msgspec.structs.replace(rental.value, machine_names=tuple(left))
             if left:
                 self._cluster_state.scale_out_records[rental.key[2:]] = rental.value
                 ops.append(protocol.PutOperation(KEY_PREFIX + rental.key, rental.value))
@@ -523,40 +529,42 @@
         """True unless the cloud gave less than was asked for. The call's turn has come."""
         names = self._cluster_state.names
         key = f"c/{self._next()}"
-        value = {
-            "t": names.machine_types.name(rent.type),
-            "z": names.zones.name(rent.zone),
-            "s": rent.spot,
-            "n": rent.machines,
-            "at": round(time.time(), 1),
-        }
-        op = CloudOperation(key, value, OperationState.AUTHORIZED)
+        record = ScaleOutRecord(
+            names.machine_types.name(rent.type),
+            names.zones.name(rent.zone),
+            rent.spot,
+            rent.machines,
+            round(time.time(), 1),
+        )
+        op = CloudOperation(key, record, OperationState.AUTHORIZED)
         op.in_flight = True
-        outcome, _ = await self._claims.claim([protocol.PutOperation(KEY_PREFIX + key, value)], key)
+        outcome, _ = await self._claims.claim(
+            [protocol.PutOperation(KEY_PREFIX + key, record)], key
+        )
         if outcome is not ClaimOutcome.COMMITTED:
             return True
         transition(op, OperationState.DISPATCHING)
         self.operations[key] = op
-        self._cluster_state.scale_out_records[key[2:]] = value
+        self._cluster_state.scale_out_records[key[2:]] = record
         await self._send_scale_out(op, now, paid=True)
         return self.offer_backoff.is_available(rent.type, rent.zone, rent.spot, now)
 
     async def _send_scale_out(self, op: CloudOperation, now: float, paid: bool = False) -> None:
-        value = op.value
+        record: ScaleOutRecord = op.value
         names = self._cluster_state.names
         offer = (
-            names.machine_types.index(value["t"]),
-            names.zones.index(value["z"]),
-            bool(value["s"]),
+            names.machine_types.index(record.machine_type),
+            names.zones.index(record.zone),
+            record.spot,
         )
-        kind = "spot" if value["s"] else "ordinary"
+        kind = "spot" if record.spot else "ordinary"
         op.in_flight = True
         try:
             got = await self._cloud.scale_out(
-                op.key[2:], value["t"], value["z"], value["s"], value["n"], paid
+                op.key[2:], record.machine_type, record.zone, record.spot, record.count, paid
             )
         except NoCapacityError:
-            log.info("no capacity: %s %s in %s", kind, value["t"], value["z"])
+            log.info("no capacity: %s %s in %s", kind, record.machine_type, record.zone)
             self.offer_backoff.record_refusal(*offer, now)
             transition(op, OperationState.SUPERSEDED)
             self._discard(op)
@@ -578,7 +586,7 @@
             return
         finally:
             op.in_flight = False
-        if len(got) < value["n"]:
+        if len(got) < record.count:
             self.offer_backoff.record_refusal(*offer, now)
         else:
             self.offer_backoff.record_grant(*offer)
@@ -588,14 +596,14 @@
         log.info(
             "rented %d of %d %s %s in %s (%s)",
             len(got),
-            value["n"],
+            record.count,
             kind,
-            value["t"],
-            value["z"],
+            record.machine_type,
+            record.zone,
             op.key[2:],
         )
-        op.value = {**value, "m": list(got)}
-        self._machines_of(op, op.value["m"], asyncio.get_running_loop().time())
+        op.value = msgspec.structs.replace(record, machine_names=got)
+        self._machines_of(op, op.value.machine_names, asyncio.get_running_loop().time())
         self._cluster_state.scale_out_records[op.key[2:]] = op.value
         if got:
             await self._claims.claim([protocol.PutOperation(KEY_PREFIX + op.key, op.value)])
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -12,6 +12,7 @@
 
 from petrelthread import protocol
 from petrelthread.fleet import CommandDispatcher, Fleet
+from petrelthread.leadership import ClaimOutcome, ClaimWriter
 from petrelthread.scheduling.bin_packing import place_requests
 from petrelthread.scheduling.capacity_index import RoomIndex
 from petrelthread.scheduling.cluster_view import ClusterView
@@ -27,8 +28,6 @@
     FINISHED,
     RECORDS_PER_EPOCH,
     Attempt,
-    ClaimOutcome,
-    ClaimWriter,
     ClusterState,
     Job,
     OperationState,
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -11,6 +11,7 @@
 
 from petrelthread import protocol
 from petrelthread.fleet import CommandDispatcher, Fleet, Health, Machine
+from petrelthread.leadership import ClaimOutcome, ClaimWriter
 from petrelthread.scheduling.cluster_view import ClusterView, RunTimeEstimates
 from petrelthread.scheduling.job_order import MAX_START_DELAY_S
 from petrelthread.scheduling.round_claim import ClaimBuilder
@@ -19,8 +20,6 @@
 from petrelthread.settings import Settings, parse
 from petrelthread.state import (
     Attempt,
-    ClaimOutcome,
-    ClaimWriter,
     ClusterState,
     InternedNames,
     Job,
--- a/petrelthread/state/__init__.py
+++ b/petrelthread/state/__init__.py
@@ -1,6 +1,5 @@
 """Durable truth: jobs, finished tasks, and one record for every effect sent into the world."""
 
-from petrelthread.state.claim_writer import ClaimOutcome, ClaimWriter
 from petrelthread.state.cluster_state import STOP_MARKER, ClusterState
 from petrelthread.state.job import FINISHED, PENDING, Attempt, InternedNames, Job
 from petrelthread.state.operation_state import IllegalTransitionError, OperationState, transition
@@ -18,8 +17,6 @@
     "RECORDS_PER_EPOCH",
     "STOP_MARKER",
     "Attempt",
-    "ClaimOutcome",
-    "ClaimWriter",
     "ClusterState",
     "IllegalTransitionError",
     "InternedNames",
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -17,9 +17,12 @@
 from collections.abc import Collection
 from typing import Any
 
+import msgspec
+
 from petrelthread import protocol
 from petrelthread.state.job import FINISHED, LIVE, PENDING, Attempt, InternedNames, Job
 from petrelthread.state.operation_state import OperationState, transition
+from petrelthread.state.stored_records import ScaleOutRecord
 from petrelthread.state.usage import UsageTracker
 
 STOP_MARKER = ""  # in a round's record, in the place of a machine: tasks to stop
@@ -39,7 +42,7 @@
         self.attempts_by_round: dict[int, set[Attempt]] = {}
         self.open_jobs_by_done_record: dict[int, set[int]] = {}
         self.machines_by_failing_job: dict[str, list[str]] = {}
-        self.scale_out_records: dict[str, Any] = {}
+        self.scale_out_records: dict[str, ScaleOutRecord] = {}
         self.scale_in_records: dict[str, list[str]] = {}
         self.catalog: Any = None
         self.options: Any = None
@@ -71,7 +74,7 @@
             if value is None:
                 self.scale_out_records.pop(rest, None)
             else:
-                self.scale_out_records[rest] = value
+                self.scale_out_records[rest] = msgspec.convert(value, ScaleOutRecord)
         elif kind == "x":
             if value is None:
                 self.scale_in_records.pop(rest, None)
@@ -247,7 +250,7 @@
 
     def recorded_machines(self) -> set[str]:
         """Those that rentals and returns on record name."""
-        rented = [value.get("m") or () for value in self.scale_out_records.values()]
+        rented = [record.machine_names or () for record in self.scale_out_records.values()]
         return {name for names in [*rented, *self.scale_in_records.values()] for name in names}
 
     # ---- what may be dropped ---------------------------------------------------------------
--- a/petrelthread/state/test_state.py
+++ b/petrelthread/state/test_state.py
@@ -11,12 +11,11 @@
 
 from petrelthread import protocol
 from petrelthread.http import ClientResponse, NoResponseError
+from petrelthread.leadership import ClaimOutcome, ClaimWriter
 from petrelthread.leadership.fence import Fence
 from petrelthread.protocol import JobStatus, parse_job
 from petrelthread.state import (
     Attempt,
-    ClaimOutcome,
-    ClaimWriter,
     ClusterState,
     IllegalTransitionError,
     InternedNames,
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -67,7 +67,8 @@
             return ClientResponse(status, orjson.dumps(answer))
 
         for number in range(MACHINES):  # a rental record a machine: several pages of keys
-            store.put(f"{KEY_PREFIX}c/3-{number}", {"m": [f"host-{number:06d}"], "t": "small"})
+            rented = {"t": "small", "z": "a", "s": True, "n": 1, "at": 1.0}
+            store.put(f"{KEY_PREFIX}c/3-{number}", rented | {"m": [f"host-{number:06d}"]})
         running = {
             (attempt.job.id, attempt.task, machine)
             for machine, there in leader.state.attempts_by_machine.items()
