--- a/petrelthread/admin/alerts.py
+++ b/petrelthread/admin/alerts.py
@@ -1,20 +1,13 @@
-"""What is wrong now, in plain sentences; one log line when each begins and one when it ends."""
+"""Alerts: conditions that operators should know of, logged when they begin and when they end."""
 
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING, NamedTuple
-
-from petrelthread.fleet import Health
-
-if TYPE_CHECKING:
-    from petrelthread.controller import Controller
+from typing import NamedTuple
 
 log = logging.getLogger(__name__)
 
-RAISE_AFTER_S = 2.0  # it has lasted so long before it is told of, so that no flicker floods the log
-LIMIT_ALERT_S = 10.0  # since a limit was last met
-STATE_SERVICE_TIMEOUT_S = 3.0  # without an answer of the state service
+RAISE_AFTER_S = 2.0  # that a condition has to last, so that short ones do not flood the log
 
 
 class Alert(NamedTuple):
@@ -22,66 +15,6 @@
     reported: bool
 
 
-def active_conditions(node: Controller, now: float) -> dict[str, str]:
-    """By kind, so that a count that changes is the same trouble still."""
-    out: dict[str, str] = {}
-    election = node.election
-    silent_s = now - node.watch_cache.current_as_of
-    if not node.watch_cache.loaded.is_set():
-        out["state"] = "this node has not yet read the state service"
-    elif silent_s > STATE_SERVICE_TIMEOUT_S:
-        out["state"] = "the state service does not answer this node: nothing is accepted or started"
-    elif election.leader is None:
-        out["leader"] = "there is no leader: nothing is started"
-    if now - node.pause_detector.resumed_at < 10.0:
-        out["still"] = f"this node stood still for {node.pause_detector.last_pause_s:.0f} s"
-    if now - node.load_shedder.last_shed_at < LIMIT_ALERT_S:
-        out["processor"] = (
-            "limit reached, processor: more requests come than this node can serve,"
-            f" {node.load_shedder.shed} turned away so far"
-        )
-    if now - node.load_shedder.last_refused_at < LIMIT_ALERT_S:
-        out["sockets"] = (
-            "limit reached, sockets of the public address:"
-            f" {node.load_shedder.refused_connections} connections refused so far"
-        )
-    if not election.is_leader:
-        return out
-    past_bound = node.fleet.unacknowledged_starts.past_bound_count
-    if past_bound:
-        out["late starts"] = (
-            f"{past_bound} starts of jobs that are over were still possible"
-            " after the time that a cancellation has"
-        )
-    late = node.provisioner.late_boot_count(now)
-    if late:
-        out["boots"] = f"{late} machines are late in booting and count for nothing until they come"
-    deaf = sum(
-        bool(machine.partition_reason) and machine.health is Health.UP
-        for machine in node.fleet.machines.values()
-    )
-    if deaf:
-        out["deaf"] = f"{deaf} machines report but do not hear us"
-    suspects = [
-        job.id
-        for job in node.cluster_state.open_jobs.values()
-        if node.fleet.job_failures.is_suspect(job)
-    ]
-    if suspects:
-        shown = ", ".join(suspects[:5]) + (", ..." if len(suspects) > 5 else "")
-        out["suspects"] = f"{len(suspects)} jobs fail everywhere until they are cancelled: {shown}"
-    reserved = len(node.scheduler.reserved_machines)
-    if reserved:
-        out["held"] = f"{reserved} jobs should have begun: a machine is kept for each"
-    cut = ", ".join(
-        node.cluster_state.names.zones.name(zone)
-        for zone in sorted(node.zone_monitor.cut_off_since)
-    )
-    if cut:
-        out["zones"] = f"cut off: {cut}"
-    return out
-
-
 class AlertTracker:
     """Since when each trouble lasts; tells of each when it begins and when it is over."""
 
--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -4,12 +4,13 @@
 
 import asyncio
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import orjson
 
 from petrelthread import protocol
 from petrelthread.admin import views
+from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.admin.setting_definitions import (
     SETTING_DEFINITIONS,
     InvalidSettingError,
@@ -27,24 +28,21 @@
     TransactionConflictError,
 )
 
-if TYPE_CHECKING:
-    from petrelthread.controller import Controller
-
 log = logging.getLogger(__name__)
 
-PREFIX = "/admin/v1/"
+ADMIN_PREFIX = "/admin/v1/"
 DIRECT = "direct=1"  # asked by a sibling: answer from here, whoever leads
 
 
 class Admin:
-    def __init__(self, node: Controller, request: Request) -> None:
-        self._node = node
+    def __init__(self, parts: ControllerParts, request: Request) -> None:
+        self._parts = parts
         self._request = request
-        self._addrs = {s.host_name: s.peer_addr for s in node.settings.siblings}
+        self._addrs = {s.host_name: s.peer_addr for s in parts.settings.siblings}
 
     async def handle(self, method: str, target: str, body: bytes) -> Response:
         path, _, query = target.partition("?")
-        what, _, rest = path[len(PREFIX) :].partition("/")
+        what, _, rest = path[len(ADMIN_PREFIX) :].partition("/")
         if what == "settings" and not rest:
             if method == "GET":
                 return await self._get_settings()
@@ -57,9 +55,9 @@
             return error_response(405, "use GET")
         # On waking from a standstill, or cut off for a while, this node may take itself for the
         # leader still: what it shows is no older than what others were told, or says so.
-        await self._node.watch_cache.refresh()
-        home = self._addrs.get(self._node.election.leader_name or "")
-        if not self._node.election.is_leader and home and DIRECT not in query:
+        await self._parts.watch_cache.refresh()
+        home = self._addrs.get(self._parts.election.leader_name or "")
+        if not self._parts.election.is_leader and home and DIRECT not in query:
             try:
                 reply = await self._request(home, "GET", f"{path}?{DIRECT}", timeout=1.5)
                 return Response(reply.status, reply.body)
@@ -67,18 +65,18 @@
                 log.info("the leader does not answer, showing what this node knows: %s", error)
         now = asyncio.get_running_loop().time()
         if what == "status":
-            return json_response(200, views.status(self._node, now))
+            return json_response(200, views.status(self._parts, now))
         if what == "zones":
-            return json_response(200, {"zones": views.zones(self._node)})
-        job = self._node.cluster_state.jobs_by_id.get(rest)
+            return json_response(200, {"zones": views.zones(self._parts)})
+        job = self._parts.cluster_state.jobs_by_id.get(rest)
         if job is None:
             return error_response(404, f"unknown job {rest}")
-        return json_response(200, views.explain(self._node, job, now))
+        return json_response(200, views.explain(self._parts, job, now))
 
     async def _get_settings(self) -> Response:
-        if not await self._node.watch_cache.refresh():
+        if not await self._parts.watch_cache.refresh():
             return error_response(503, "state service unreachable", 2)
-        stored = self._node.cluster_state.options or {"values": {}, "stamp": 0}
+        stored = self._parts.cluster_state.options or {"values": {}, "stamp": 0}
         values = with_defaults(stored["values"])
         shown = [
             {
@@ -108,9 +106,9 @@
                 raise InvalidSettingError(f"unknown setting {name}")
         except InvalidSettingError as error:
             return error_response(400, str(error))
-        if not await self._node.watch_cache.refresh():
+        if not await self._parts.watch_cache.refresh():
             return error_response(503, "state service unreachable", 2)
-        stored: dict[str, Any] = self._node.cluster_state.options or {"values": {}, "stamp": 0}
+        stored: dict[str, Any] = self._parts.cluster_state.options or {"values": {}, "stamp": 0}
         if stored["stamp"] != version:
             return error_response(409, f"version {version} is stale, it is {stored['stamp']}")
         values = {**stored["values"], name: number}
@@ -118,7 +116,7 @@
             del values[name]
         key = KEY_PREFIX + "options"
         try:
-            stamp = await self._node.state.transact(
+            stamp = await self._parts.state.transact(
                 [protocol.Condition(key, version)], [protocol.PutOperation(key, values)]
             )
         except TransactionConflictError:
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -3,20 +3,18 @@
 from __future__ import annotations
 
 import time
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from petrelthread import protocol
-from petrelthread.admin.alerts import STATE_SERVICE_TIMEOUT_S, active_conditions
+from petrelthread.admin.conditions import STATE_SERVICE_TIMEOUT_S, active_conditions
+from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.admin.explain import explain_waiting, serving_replicas
 from petrelthread.fleet import Health
 from petrelthread.state import Job, OperationState
 
-if TYPE_CHECKING:
-    from petrelthread.controller import Controller
 
-
-def status(node: Controller, now: float) -> dict[str, Any]:
-    cluster_state, election = node.cluster_state, node.election
+def status(parts: ControllerParts, now: float) -> dict[str, Any]:
+    cluster_state, election = parts.cluster_state, parts.election
     siblings = [
         {
             "node": name,
@@ -24,9 +22,9 @@
             "state_service": heard.heartbeat.state_service_ok,
             "workers_heard": heard.heartbeat.worker_heartbeats,
         }
-        for name, heard in sorted(node.peer_monitor.last_received.items())
+        for name, heard in sorted(parts.peer_monitor.last_received.items())
     ]
-    use = node.view.team_usage()
+    use = parts.view.team_usage()
     backlog: dict[str, dict[str, int]] = {}
     for job in cluster_state.open_jobs.values():
         entry = backlog.setdefault(
@@ -38,18 +36,18 @@
         entry["running"] += len(job.live_attempts)
         if job.is_service:
             entry["replicas"] = entry.get("replicas", 0) + job.task_count
-            entry["serving"] = entry.get("serving", 0) + serving_replicas(node, job)
+            entry["serving"] = entry.get("serving", 0) + serving_replicas(parts, job)
     return {
-        "node": node.settings.host_name,
+        "node": parts.settings.host_name,
         "role": election.role.value,
         "leader": election.leader_name,
         "epoch": election.highest_known_epoch,
         "token": election.fencing_token if election.may_answer_workers else None,
-        "state_service": now - node.watch_cache.current_as_of < STATE_SERVICE_TIMEOUT_S,
+        "state_service": now - parts.watch_cache.current_as_of < STATE_SERVICE_TIMEOUT_S,
         "siblings": siblings,
-        "zones": zones(node),
-        "machines": _machines(node),
-        "operations": operations(node, now),
+        "zones": zones(parts),
+        "machines": _machines(parts),
+        "operations": operations(parts, now),
         "teams": [
             {
                 "team": team.name,
@@ -57,19 +55,19 @@
                 "guaranteed": team.cpus,
                 "limit": team.cpus_max or None,
             }
-            for at, team in enumerate(node.view.teams)
+            for at, team in enumerate(parts.view.teams)
         ],
         "backlog": backlog,
         "troubles": [
-            {"trouble": text, "for_s": round(node.alerts.duration_s(kind, now), 1)}
-            for kind, text in active_conditions(node, now).items()
+            {"trouble": text, "for_s": round(parts.alerts.duration_s(kind, now), 1)}
+            for kind, text in active_conditions(parts, now).items()
         ],
     }
 
 
-def _machines(node: Controller) -> dict[str, int]:
+def _machines(parts: ControllerParts) -> dict[str, int]:
     out: dict[str, int] = {}
-    for machine in node.fleet.machines.values():
+    for machine in parts.fleet.machines.values():
         if machine.health is not Health.TERMINATED:
             state = machine.health.value
             if machine.health is Health.UP and machine.partition_reason:
@@ -78,15 +76,15 @@
     return out
 
 
-def zones(node: Controller) -> list[dict[str, Any]]:
-    names = node.cluster_state.names.zones
+def zones(parts: ControllerParts) -> list[dict[str, Any]]:
+    names = parts.cluster_state.names.zones
     out = []
     for index in range(len(names)):
-        here = [m for m in node.fleet.machines.values() if m.zone == index]
+        here = [m for m in parts.fleet.machines.values() if m.zone == index]
         count = {health: sum(m.health is health for m in here) for health in Health}
         up, silent = count[Health.UP] + count[Health.DRAINING], count[Health.UNRESPONSIVE]
         says = "serving" if up else "no machines"
-        if index in node.zone_monitor.cut_off_since:
+        if index in parts.zone_monitor.cut_off_since:
             says = "DOWN: cut off, nothing in it is heard; nothing is rented there"
         elif silent and not up:
             says = "DOWN: none of its machines reports"
@@ -106,31 +104,31 @@
     return out
 
 
-def operations(node: Controller, now: float) -> list[dict[str, Any]]:
+def operations(parts: ControllerParts, now: float) -> list[dict[str, Any]]:
     """The unknown ones, with their age and the evidence that will settle them."""
     out: list[dict[str, Any]] = []
-    for op in node.provisioner.operations.values():
+    for op in parts.provisioner.operations.values():
         if op.state is OperationState.UNKNOWN:
             awaited = "the cloud's answer to the same request, or a list taken well after"
-            if op.key.startswith("c/") and not node.cluster_state.open_jobs:
+            if op.key.startswith("c/") and not parts.cluster_state.open_jobs:
                 awaited = "a list taken well after, since it is no longer wanted"
             age_s = round(now - op.unknown_at, 1)
             out.append({"operation": op.key, "age_s": age_s, "awaits": awaited})
-    uncertain = node.fleet.unacknowledged_starts
+    uncertain = parts.fleet.unacknowledged_starts
     if uncertain.count():
         out.append(
             {
                 "operation": f"{uncertain.count()} direct starts without an answer",
                 "age_s": round(uncertain.oldest_age_s(now), 1),
-                "awaits": f"their machines to show a token above {node.election.fencing_token - 1},"
-                " or a later session",
+                "awaits": f"their machines to show a token above"
+                f" {parts.election.fencing_token - 1}, or a later session",
             }
         )
-    for index, there in node.cluster_state.attempts_by_machine.items():
+    for index, there in parts.cluster_state.attempts_by_machine.items():
         unknown = [a for a in there.values() if a.state is OperationState.UNKNOWN]
-        machine = node.fleet.machines.get(index)
+        machine = parts.fleet.machines.get(index)
         if unknown and machine is not None:
-            left_s = max(0.0, node.fleet.lease_expires_at(machine) - now)
+            left_s = max(0.0, parts.fleet.lease_expires_at(machine) - now)
             out.append(
                 {
                     "operation": f"{len(unknown)} starts on {machine.name}",
@@ -141,11 +139,11 @@
     return out
 
 
-def explain(node: Controller, job: Job, now: float) -> dict[str, Any]:
+def explain(parts: ControllerParts, job: Job, now: float) -> dict[str, Any]:
     return {
         "job": job.id,
         "status": job.status,
-        "team": node.cluster_state.names.teams.name(job.team),
+        "team": parts.cluster_state.names.teams.name(job.team),
         "shape": protocol.JobKind.SERVICE
         if job.is_service
         else protocol.JobKind.GANG
@@ -155,5 +153,5 @@
         "done": job.done_count,
         "waiting": job.pending_count if job.final_status is None else 0,
         "age_s": round(time.time() - job.accepted_at, 1),
-        "why": explain_waiting(node, job, now),
+        "why": explain_waiting(parts, job, now),
     }
--- /dev/null
+++ b/petrelthread/controller/controller.py
@@ -0,0 +1,340 @@
+"""The composition root: builds one controller from its parts and connects them."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from typing import Any
+
+from petrelthread.admin import Admin, AlertTracker, active_conditions
+from petrelthread.controller.housekeeping import Housekeeping
+from petrelthread.controller.provisioning_loop import ProvisioningLoop
+from petrelthread.controller.routes import PeerRoutes, PublicRoutes
+from petrelthread.controller.scheduling_loop import SchedulingLoop
+from petrelthread.controller.state_changes import StateChangeHandler
+from petrelthread.controller.write_rates import WriteRateManager
+from petrelthread.fleet import (
+    CommandDispatcher,
+    CommandPlanner,
+    FailureDetector,
+    Fleet,
+    HeartbeatHandler,
+    ZoneMonitor,
+)
+from petrelthread.http import LoadShedder, Response
+from petrelthread.job_api import JobApi
+from petrelthread.leadership import ACTIVE_ROLES, ClaimWriter, Election, Role
+from petrelthread.pause_detector import PauseDetector
+from petrelthread.peers import PeerHeartbeat, PeerMonitor
+from petrelthread.provisioning import CloudClient, ProvisioningOptions
+from petrelthread.provisioning.provisioner import Provisioner
+from petrelthread.scheduling.cluster_view import ClusterView, RunTimeEstimates
+from petrelthread.scheduling.scheduler import Scheduler
+from petrelthread.settings import Settings
+from petrelthread.state import ClusterState, InternedNames
+from petrelthread.store import Request, StateClient, TokenBucket, WatchCache, WriteRates
+
+log = logging.getLogger(__name__)
+
+STATE_SERVICE_SHARE = 0.9  # of the state service's limits, over all controllers
+CLOUD_SHARE = 0.85  # of the cloud's limit; only the leader calls it
+CLOUD_BURST_S = 2.0  # seconds' worth of calls that the cloud takes at once
+CLEAN_UP_RESERVE = 0.5  # of the write burst, which deleting settled records leaves untouched
+STATE_SERVICE_OK_S = 3.0  # with news of the state service no older than this, it is reachable
+MAX_CONCURRENT_COMMANDS = 24
+LEADER_POLL_INTERVAL_S = 0.03  # between two watches of the state service
+FOLLOWER_POLL_INTERVAL_S = 0.15
+UNKNOWN_CACHE_GB = 1e9  # image cache of a machine whose type is not known
+
+
+class Controller:
+    """One controller of the service. ``run`` serves until it is cancelled.
+
+    ``handle`` answers requests to the public address, ``handle_peer`` those to the peer address.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        request: Request,
+        randomness: random.Random,
+        commands: Request | None = None,
+        commands_at_once: int = MAX_CONCURRENT_COMMANDS,
+        lease_request: Request | None = None,
+    ) -> None:
+        """Connect all parts; nothing is sent before ``run``.
+
+        Args:
+            settings: as handed over by the platform.
+            request: sends HTTP requests.
+            randomness: for delays that keep controllers apart.
+            commands: sends requests to workers, if not ``request``.
+            commands_at_once: how many of those may be in flight.
+            lease_request: sends renewals of the leader's lease, which wait behind nothing else.
+        """
+        self.settings = settings
+        self.pause_detector = PauseDetector(self._on_process_resumed)
+        self.load_shedder = LoadShedder()  # of requests to the public address
+        self.alerts = AlertTracker()
+        self._build_state(request, lease_request)
+        self._build_leadership(randomness)
+        self._build_fleet(commands or request, commands_at_once)
+        self._build_scheduling()
+        self._build_provisioning(request)
+        self._build_apis(request)
+        self._build_loops()
+
+    # ---- construction --------------------------------------------------------------------------
+
+    def _build_state(self, request: Request, lease_request: Request | None) -> None:
+        cluster = self.settings.cluster
+        controllers = max(1, cluster.count)
+        write_rates = WriteRates.divide(cluster.state.write_rps, controllers)
+        request_rate = cluster.state.rps * STATE_SERVICE_SHARE / controllers
+        write_rate = cluster.state.write_rps * STATE_SERVICE_SHARE / controllers
+        self.state = StateClient(
+            request,
+            self.settings.endpoints.state,
+            TokenBucket(request_rate, request_rate / 2),
+            TokenBucket(write_rate, write_rates.burst),
+            lease_request,
+        )
+        self.write_rates = WriteRateManager(
+            self.settings, self.state, write_rates, lambda: self.election.role
+        )
+        names = InternedNames([team.name for team in cluster.teams], cluster.zones)
+        self.cluster_state = ClusterState(names)
+        self.watch_cache = WatchCache(self.state, self._on_key, FOLLOWER_POLL_INTERVAL_S)
+
+    def _build_leadership(self, randomness: random.Random) -> None:
+        self.election = Election(
+            self.settings.host_name,
+            self.state,
+            self.watch_cache,
+            self.settings.lease_grace_s,
+            randomness,
+            self._on_elected,
+            self._on_role,
+            self._on_token,
+        )
+        self.claims = ClaimWriter(self.state, self.election.fence)
+
+    def _build_fleet(self, commands: Request, commands_at_once: int) -> None:
+        workers = self.settings.cluster.workers
+        self.fleet = Fleet(
+            self.cluster_state, workers.lease_s, workers.report_s, self.settings.lease_grace_s
+        )
+        self.fleet.unacknowledged_starts.state_current_as_of = lambda: (
+            self.watch_cache.current_as_of
+        )
+        self.failure_detector = FailureDetector(self.fleet)
+        self.command_planner = CommandPlanner(self.fleet)
+        self.heartbeat_handler = HeartbeatHandler(
+            self.settings.host_name, self.election, self.fleet, self.command_planner
+        )
+        self.dispatch = CommandDispatcher(
+            self.fleet, self.failure_detector, commands, commands_at_once
+        )
+        self.dispatch.may_start_tasks = lambda: self.election.may_start_tasks
+        self.zone_monitor = ZoneMonitor(workers.report_s)
+
+    def _build_scheduling(self) -> None:
+        estimates = RunTimeEstimates()
+        self.view = ClusterView(
+            self.settings,
+            self.cluster_state,
+            self.fleet,
+            lambda: self.provisioner.machine_types,
+            estimates,
+        )
+        self.scheduler = Scheduler(
+            self.settings,
+            self.cluster_state,
+            self.fleet,
+            self.claims,
+            self.dispatch,
+            self.view,
+            self.watch_cache.refresh,
+            lambda now: self.state.write_bucket.available(now, CLEAN_UP_RESERVE),
+        )
+        self.fleet.on_change = self.scheduler.wake.set
+        self.fleet.on_run_time = estimates.learn
+
+    def _build_provisioning(self, request: Request) -> None:
+        cloud_rate = self.settings.cluster.cloud.rps * CLOUD_SHARE
+        bucket = TokenBucket(cloud_rate, CLOUD_BURST_S * cloud_rate)
+        self.provisioner = Provisioner(
+            self.settings,
+            self.cluster_state,
+            self.fleet,
+            self.claims,
+            CloudClient(request, self.settings.endpoints.cloud, bucket),
+            self.scheduler,
+            self.view,
+            lambda: self._state_changes.provisioning_options,
+            lambda: self.election.is_leader,
+            self.zone_monitor.cut_off_since,
+        )
+        self.fleet.on_replicas_lost = self.provisioner.wake.set
+        self.fleet.image_cache_gb = self._image_cache_gb
+        self._state_changes = StateChangeHandler(
+            self.election, self.cluster_state, self.scheduler, self.provisioner
+        )
+
+    def _build_apis(self, request: Request) -> None:
+        self.job_api = JobApi(
+            self.settings,
+            self.cluster_state,
+            self.watch_cache,
+            self.state,
+            self.provisioner.catalog,
+        )
+        self.peer_monitor = PeerMonitor(
+            self.settings.siblings,
+            request,
+            self._own_heartbeat,
+            lambda heartbeat: self.election.observe_epoch(heartbeat.epoch),
+            lambda heartbeat: self.write_rates.lend(heartbeat, self.peer_monitor),
+            self.write_rates.quota.record_loan,
+        )
+        self.admin = Admin(self, request)
+        self._public_routes = PublicRoutes(
+            self.job_api,
+            self.heartbeat_handler,
+            self.watch_cache,
+            self.peer_monitor,
+            self.pause_detector,
+        )
+        self._peer_routes = PeerRoutes(self.peer_monitor, self.admin, self.pause_detector)
+
+    def _build_loops(self) -> None:
+        self.scheduling_loop = SchedulingLoop(
+            self.election,
+            self.claims,
+            self.fleet,
+            self.failure_detector,
+            self.dispatch,
+            self.scheduler,
+            self.pause_detector,
+            self.load_shedder,
+        )
+        self._provisioning_loop = ProvisioningLoop(
+            self.election,
+            self.claims,
+            self.cluster_state,
+            self.provisioner,
+            self.pause_detector,
+            self.settings.cluster.state.value_kb,
+        )
+        self._housekeeping = Housekeeping(
+            self.settings,
+            self.election,
+            self.watch_cache,
+            self.write_rates,
+            self.peer_monitor,
+            self.pause_detector,
+            self.fleet,
+            self.heartbeat_handler,
+            self.dispatch,
+            self.zone_monitor,
+            self.view,
+            self._update_alerts,
+        )
+
+    # ---- service -------------------------------------------------------------------------------
+
+    async def run(self) -> None:
+        """Take part in the service until cancelled."""
+        self.write_rates.start()
+        await asyncio.gather(
+            self.watch_cache.follow(),
+            self.election.run(),
+            self.peer_monitor.run(),
+            self.scheduling_loop.run(),
+            self._provisioning_loop.run(),
+            self._housekeeping.run(),
+        )
+
+    async def handle(self, method: str, target: str, body: bytes) -> Response:
+        """Answer a request of a user, a worker or a health check."""
+        return await self._public_routes.handle(method, target, body)
+
+    async def handle_peer(self, method: str, target: str, body: bytes) -> Response:
+        """Answer a request of a sibling or an operator."""
+        return await self._peer_routes.handle(method, target, body)
+
+    @property
+    def provisioning_options(self) -> ProvisioningOptions:
+        """The operators' settings in force for provisioning."""
+        return self._state_changes.provisioning_options
+
+    # ---- events --------------------------------------------------------------------------------
+
+    def _on_key(self, key: str, value: Any, revision: int) -> None:
+        self._state_changes.on_key(key, value, revision)
+
+    def _on_role(self, role: Role) -> None:
+        active = role in ACTIVE_ROLES
+        if not active:
+            self.fleet.step_down()
+        self.write_rates.update(self.peer_monitor, asyncio.get_running_loop().time())
+        self.watch_cache.poll_interval_s = (
+            LEADER_POLL_INTERVAL_S if active else FOLLOWER_POLL_INTERVAL_S
+        )
+        if role is Role.LEADING:
+            # Until the catalogue is read, submissions are refused.
+            self.provisioner.wake.set()
+            self.scheduler.wake.set()
+
+    def _on_token(self, token: int) -> None:
+        self.fleet.fencing_token = token
+
+    async def _on_elected(self) -> None:
+        """Fail over: the state has just been read again."""
+        now = asyncio.get_running_loop().time()
+        epoch = self.election.epoch
+        self.fleet.fail_over(epoch, now, self.cluster_state.recorded_machines())
+        self.fleet.fencing_token = self.election.fencing_token
+        self.scheduler.fail_over(epoch)
+        self.provisioner.fail_over(now)
+        self.zone_monitor.clear()
+        self.heartbeat_handler.reset_recent()
+        attempts = self.cluster_state.attempts_by_machine.values()
+        log.info(
+            "failover with epoch %d: state read up to revision %d (%.2f s ago);"
+            " %d open jobs, %d starts and %d cloud operations to settle",
+            epoch,
+            self.watch_cache.revision,
+            now - self.watch_cache.current_as_of,
+            len(self.cluster_state.open_jobs),
+            sum(len(on_machine) for on_machine in attempts),
+            len(self.provisioner.operations),
+        )
+        self.scheduler.wake.set()
+
+    def _on_process_resumed(self, pause_s: float, now: float) -> None:
+        """What was known before the pause is older than it looks."""
+        self.election.on_process_resumed()
+        self.fleet.resumed_at = now
+        self.peer_monitor.last_received.clear()
+        self.heartbeat_handler.reset_recent()
+
+    def _own_heartbeat(self) -> PeerHeartbeat:
+        now = asyncio.get_running_loop().time()
+        return PeerHeartbeat(
+            self.settings.host_name,
+            self.election.highest_known_epoch,
+            self.election.is_leader,
+            now - self.watch_cache.current_as_of < STATE_SERVICE_OK_S,
+            self.heartbeat_handler.recent_count(now),
+            self.settings.zone,
+            requested_write_rate=self.write_rates.requested_rate(now),
+        )
+
+    def _update_alerts(self, now: float) -> None:
+        self.alerts.update(active_conditions(self, now), now)
+
+    def _image_cache_gb(self, machine_type_index: int) -> float:
+        machine_type = self.provisioner.machine_types.get(machine_type_index)
+        return machine_type.local_disk_gb if machine_type else UNKNOWN_CACHE_GB
--- /dev/null
+++ b/petrelthread/controller/housekeeping.py
@@ -0,0 +1,130 @@
+"""Periodic work of every controller: alerts, write rates, reachability of zones and workers."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from petrelthread.controller.write_rates import WriteRateManager
+from petrelthread.fleet import CommandDispatcher, Fleet, HeartbeatHandler, ZoneMonitor
+from petrelthread.fleet.failure_detector import FIND_LEADER_S
+from petrelthread.leadership import Election
+from petrelthread.pause_detector import PauseDetector
+from petrelthread.peers import PeerMonitor
+from petrelthread.scheduling.cluster_view import ClusterView
+from petrelthread.settings import Settings
+from petrelthread.store import WatchCache
+
+log = logging.getLogger(__name__)
+
+INTERVAL_S = 0.5
+LOAD_LOG_INTERVAL_S = 5.0
+MAX_STATE_AGE_S = 1.0  # older than this, the watch cache is refreshed
+PEER_RECENT_S = 3.0  # a peer heard within this counts as reachable
+READ_WORKERS_S = 15.0  # after its election a leader reads workers that do not report by themselves
+ABSTAIN_S = 15.0  # how long a leader that workers cannot reach leaves the lead to others
+MIN_PEER_HEARTBEATS = 2  # that siblings must have received for workers to count as alive
+
+
+@dataclass
+class Housekeeping:
+    """Runs on every controller, whatever its role."""
+
+    settings: Settings
+    election: Election
+    watch_cache: WatchCache
+    write_rates: WriteRateManager
+    peer_monitor: PeerMonitor
+    pause_detector: PauseDetector
+    fleet: Fleet
+    heartbeat_handler: HeartbeatHandler
+    dispatcher: CommandDispatcher
+    zone_monitor: ZoneMonitor
+    view: ClusterView
+    update_alerts: Callable[[float], None]
+    _max_delay_s: float = field(default=0.0, init=False)  # of the event loop, since last logged
+    _load_logged_at: float = field(default=0.0, init=False)
+
+    async def run(self) -> None:
+        """Repeat all checks every half second."""
+        loop = asyncio.get_running_loop()
+        self._load_logged_at = loop.time()
+        while True:
+            slept_at = loop.time()
+            await asyncio.sleep(INTERVAL_S)
+            now = loop.time()
+            self.pause_detector.check(now)
+            self.update_alerts(now)
+            delay_s = now - slept_at - INTERVAL_S
+            self._max_delay_s = max(self._max_delay_s, delay_s)
+            self.write_rates.sample(now - slept_at)
+            self.write_rates.update(self.peer_monitor, now)
+            self._log_load(now)
+            if self._state_is_old(now):
+                await self.watch_cache.refresh()
+            await self._resign_if_unreachable(now)
+            if self.election.is_leader:
+                self._check_zones(now)
+                if now - self.election.elected_at < READ_WORKERS_S:
+                    self.dispatcher.read_workers(now, late_s=delay_s)
+
+    def _state_is_old(self, now: float) -> bool:
+        cache = self.watch_cache
+        return cache.loaded.is_set() and now - cache.current_as_of > MAX_STATE_AGE_S
+
+    def _log_load(self, now: float) -> None:
+        if now - self._load_logged_at <= LOAD_LOG_INTERVAL_S:
+            return
+        if self.election.is_leader and log.isEnabledFor(logging.DEBUG):
+            starts = self.fleet.unacknowledged_starts
+            log.debug(
+                "load: %s; event loop late by %.2f s at most; fencing token %d,"
+                " %d starts unacknowledged, the oldest for %.1f s",
+                self.view.load_summary(),
+                self._max_delay_s,
+                self.election.fencing_token,
+                starts.count(),
+                starts.oldest_age_s(now),
+            )
+        self._max_delay_s, self._load_logged_at = 0.0, now
+
+    def _check_zones(self, now: float) -> None:
+        """Log when a zone becomes unreachable, and when it is reachable again."""
+        names = self.fleet.cluster_state.names.zones
+        controllers = {
+            names.index(zone): reachable for zone, reachable in self._controller_zones().items()
+        }
+        machines = self.fleet.machines.values()
+        since = max(self.election.elected_at, self.pause_detector.resumed_at)
+        cut_off, restored = self.zone_monitor.update(machines, controllers, since, now)
+        for zone in sorted(cut_off):
+            log.warning("zone %s is cut off: nothing in it is reachable", names.name(zone))
+        for zone in sorted(restored):
+            log.info("zone %s is reachable again", names.name(zone))
+
+    def _controller_zones(self) -> dict[str, bool]:
+        """For each zone with controllers, whether one of them was heard from lately."""
+        recent = {heartbeat.node for heartbeat in self.peer_monitor.recent(PEER_RECENT_S)}
+        reachable = {self.settings.zone: True} if self.settings.zone else {}
+        for sibling in self.settings.siblings:
+            if sibling.zone:
+                before = reachable.get(sibling.zone, False)
+                reachable[sibling.zone] = before or sibling.host_name in recent
+        return reachable
+
+    async def _resign_if_unreachable(self, now: float) -> None:
+        """A leader that no worker reaches, while its siblings hear from them, resigns."""
+        election = self.election
+        since = max(election.elected_at, self.pause_detector.resumed_at)
+        grace_s = self.heartbeat_handler.window_s + FIND_LEADER_S
+        if not election.is_leader or now - since < grace_s:
+            return
+        if self.heartbeat_handler.recent_count(now) > 0:
+            return
+        recent = self.peer_monitor.recent(PEER_RECENT_S)
+        received = sum(heartbeat.worker_heartbeats for heartbeat in recent)
+        if received >= MIN_PEER_HEARTBEATS:
+            log.info("no worker reaches this node, siblings received %d heartbeats", received)
+            await election.resign("workers do not reach this node", ABSTAIN_S)
--- /dev/null
+++ b/petrelthread/controller/routes.py
@@ -0,0 +1,76 @@
+"""Routes of the two addresses: one for users and workers, one for siblings and operators."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from petrelthread import protocol
+from petrelthread.admin import ADMIN_PREFIX, Admin
+from petrelthread.fleet import HeartbeatHandler
+from petrelthread.http import Response, json_response
+from petrelthread.http.server import error_response
+from petrelthread.job_api import JobApi
+from petrelthread.pause_detector import PauseDetector
+from petrelthread.peers import PeerMonitor
+from petrelthread.peers.peer_monitor import PEER_HEARTBEAT_PATH
+from petrelthread.store import WatchCache
+
+READY_STATE_AGE_S = 3.0  # without news of the state service for longer, siblings serve better
+PEER_RECENT_S = 3.0  # a peer heard within this counts as reachable
+
+
+@dataclass
+class PublicRoutes:
+    """Users, workers and health checks."""
+
+    job_api: JobApi
+    heartbeat_handler: HeartbeatHandler
+    watch_cache: WatchCache
+    peer_monitor: PeerMonitor
+    pause_detector: PauseDetector
+
+    async def handle(self, method: str, target: str, body: bytes) -> Response:
+        """Answer one request to the public address."""
+        self.pause_detector.check(asyncio.get_running_loop().time())
+        path = target.partition("?")[0]
+        if path == protocol.HEARTBEAT_PATH:
+            if method != "POST":
+                return error_response(405, "use POST")
+            return self.heartbeat_handler.handle(body)
+        if path == protocol.JOBS_PATH or path.startswith(protocol.JOBS_PATH + "/"):
+            return await self.job_api.handle(method, path, body)
+        if path == protocol.READY_PATH:
+            return self._ready() if method == "GET" else error_response(405, "use GET")
+        return error_response(404, "no such path")
+
+    def _ready(self) -> Response:
+        if not self.watch_cache.loaded.is_set():
+            return error_response(503, "still starting", 1)
+        # Refused by the state service alone, this node does worse than its siblings. In an outage
+        # for all, leaving would only add the time of coming back to it.
+        peers = self.peer_monitor.recent(PEER_RECENT_S)
+        peers_reach_state = any(heartbeat.state_service_ok for heartbeat in peers)
+        age_s = asyncio.get_running_loop().time() - self.watch_cache.current_as_of
+        if peers_reach_state and age_s > READY_STATE_AGE_S:
+            return error_response(503, "state service unreachable", 1)
+        return json_response(200, {"ready": True})
+
+
+@dataclass
+class PeerRoutes:
+    """Siblings and operators."""
+
+    peer_monitor: PeerMonitor
+    admin: Admin
+    pause_detector: PauseDetector
+
+    async def handle(self, method: str, target: str, body: bytes) -> Response:
+        """Answer one request to the peer address."""
+        self.pause_detector.check(asyncio.get_running_loop().time())
+        path = target.partition("?")[0]
+        if path == PEER_HEARTBEAT_PATH:
+            return await self.peer_monitor.handle(method, body)
+        if path.startswith(ADMIN_PREFIX):
+            return await self.admin.handle(method, target, body)
+        return error_response(404, "no such path")
--- /dev/null
+++ b/petrelthread/controller/scheduling_loop.py
@@ -0,0 +1,93 @@
+"""The leader's rounds: failure detection, voiding of unacknowledged starts, and placement."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from dataclasses import dataclass
+
+from petrelthread.fleet import CommandDispatcher, FailureDetector, Fleet
+from petrelthread.http import LoadShedder
+from petrelthread.leadership import ClaimWriter, Election
+from petrelthread.pause_detector import PauseDetector
+from petrelthread.scheduling.scheduler import MIN_RECORD_NUMBERS_LEFT, Scheduler
+
+log = logging.getLogger(__name__)
+
+MAX_WAIT_S = 1.0  # for an event, before the next round
+FOLLOWER_PAUSE_S = 0.05
+FAILURE_CHECK_INTERVAL_S = 0.5
+MISSED_HEARTBEATS = 2.5  # a machine is unresponsive after so many heartbeat intervals
+UNRESPONSIVE_MARGIN_S = 4.0  # and this
+
+
+@dataclass
+class SchedulingLoop:
+    """Runs on every controller and does something only while that one leads."""
+
+    election: Election
+    claims: ClaimWriter
+    fleet: Fleet
+    failure_detector: FailureDetector
+    dispatcher: CommandDispatcher
+    scheduler: Scheduler
+    pause_detector: PauseDetector
+    load_shedder: LoadShedder
+
+    async def run(self) -> None:
+        """One round after the other, at once after an event and else every second."""
+        wake = self.scheduler.wake
+        failures_checked_at = 0.0
+        while True:
+            try:
+                async with asyncio.timeout(MAX_WAIT_S):
+                    await wake.wait()
+            except TimeoutError:
+                pass
+            wake.clear()
+            self.pause_detector.check(asyncio.get_running_loop().time())
+            if not self.election.is_leader:
+                await asyncio.sleep(FOLLOWER_PAUSE_S)
+                continue
+            now = asyncio.get_running_loop().time()
+            try:
+                if now - failures_checked_at >= FAILURE_CHECK_INTERVAL_S:
+                    failures_checked_at = now
+                    await self._check_failures(now)
+                if await self._run_round(now):
+                    wake.set()
+            except Exception:
+                log.exception("round failed")
+            await asyncio.sleep(self.scheduler.round_interval_s)
+
+    async def _check_failures(self, now: float) -> None:
+        self.failure_detector.check(now, self.unresponsive_after_s(now))
+        self.dispatcher.probe(now)
+        await self._void_unacknowledged_starts(now)
+
+    async def _run_round(self, now: float) -> bool:
+        """True if there is more to do at once."""
+        if self.scheduler.record_numbers_left() < MIN_RECORD_NUMBERS_LEFT:
+            await self.election.resign("the record numbers of this epoch are used up", 0.0)
+            return False
+        return await self.scheduler.run_round(now)
+
+    async def _void_unacknowledged_starts(self, now: float) -> None:
+        """Raise the fencing token when unacknowledged starts must not be executed any more."""
+        starts = self.fleet.unacknowledged_starts
+        reason = starts.raise_reason(self.election.fencing_token, now)
+        if reason is None:
+            return
+        log.info("raising the fencing token: %s (%d unacknowledged)", reason.value, starts.count())
+        await self.claims.run_exclusive(self.election.raise_fencing_token)
+        starts.on_raise_attempted(asyncio.get_running_loop().time())
+
+    def unresponsive_after_s(self, now: float) -> float:
+        """How long a machine may send no heartbeat before it counts as unresponsive, in seconds.
+
+        While requests are shed for want of processor time a missing heartbeat proves little, and
+        machines that are well would be returned; the lease is the bound then.
+        """
+        timeout_s = MISSED_HEARTBEATS * self.fleet.heartbeat_interval_s + UNRESPONSIVE_MARGIN_S
+        overloaded = now - self.load_shedder.last_shed_at < timeout_s
+        return max(timeout_s, self.fleet.lease_s) if overloaded else timeout_s
--- /dev/null
+++ b/petrelthread/controller/state_changes.py
@@ -0,0 +1,89 @@
+"""Changes of stored keys: which component each one goes to."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from typing import Any
+
+import msgspec
+
+from petrelthread import protocol
+from petrelthread.admin import provisioning_options, with_defaults
+from petrelthread.leadership import ACTIVE_ROLES, Election, Role
+from petrelthread.provisioning import ProvisioningOptions
+from petrelthread.provisioning.provisioner import Provisioner
+from petrelthread.scheduling.scheduler import Scheduler
+from petrelthread.state import ClusterState, epoch_of
+
+log = logging.getLogger(__name__)
+
+
+class StateChangeHandler:
+    """Takes every change that the watch cache reads, in the order of their revisions."""
+
+    def __init__(
+        self,
+        election: Election,
+        cluster_state: ClusterState,
+        scheduler: Scheduler,
+        provisioner: Provisioner,
+    ) -> None:
+        self._election = election
+        self._cluster_state = cluster_state
+        self._scheduler = scheduler
+        self._provisioner = provisioner
+        self.provisioning_options = ProvisioningOptions()
+
+    def on_key(self, key: str, value: Any, revision: int) -> None:
+        """A key has changed; ``value`` is None if it was deleted."""
+        if key in ("lead", "epoch"):
+            self._election.on_key(key, value, revision)
+            return
+        if key == "catalog" and value is not None:
+            self._apply_catalog(value)
+        if key == "options":
+            self._apply_options(value or {})
+        kind, _, rest = key.partition("/")
+        active = self._election.role in ACTIVE_ROLES
+        if active and kind == "r" and value is not None and self._is_own_round(int(rest), value):
+            return
+        jobs_before = len(self._cluster_state.jobs)
+        self._cluster_state.on_key(key, value, revision)
+        if self._election.role is Role.LEADING:
+            accepted = kind == "j" and len(self._cluster_state.jobs) > jobs_before
+            self._wake_leader(accepted, finished=kind == "f")
+
+    def _wake_leader(self, accepted: bool, finished: bool) -> None:
+        if accepted:
+            now = asyncio.get_running_loop().time()
+            self._provisioner.forecast.note_accepted(self._cluster_state.jobs[-1], now)
+            self._scheduler.wake.set()
+            self._provisioner.wake.set()
+        elif finished:
+            self._scheduler.wake.set()
+
+    def _is_own_round(self, number: int, record: Any) -> bool:
+        """Whether a round's record is dealt with here, as one of the epoch that we lead with."""
+        if self._scheduler.defer_record(number, record):
+            return True
+        known = number in self._cluster_state.attempts_by_round
+        if known or epoch_of(number) != self._election.epoch:
+            return False
+        # Either a claim that was applied although we had given it up, so that nothing of it was
+        # sent, or a late copy of one that was settled and deleted.
+        self._cluster_state.settle_unsent_round(number)
+        return True
+
+    def _apply_catalog(self, value: Any) -> None:
+        try:
+            self._provisioner.set_catalog(msgspec.convert(value, protocol.Catalog))
+        except msgspec.ValidationError as error:
+            log.warning("stored catalogue unusable: %s", error)
+
+    def _apply_options(self, stored: dict[str, Any]) -> None:
+        values = with_defaults(stored)
+        self.provisioning_options = provisioning_options(values)
+        self._scheduler.round_interval_s = values["round_gap_s"]
+        self._scheduler.round_budget_s = values["round_budget_s"]
+        log.info("operators' settings: %s", stored or "all at their defaults")
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -143,7 +143,11 @@
             expect("admin", "settings", case, facts)
             await asyncio.sleep(1.0)
             if case == "change":
-                assert [n.options.idle_s for n in world.nodes.values()] == [7.0, 7.0, 7.0]
+                assert [n.provisioning_options.idle_s for n in world.nodes.values()] == [
+                    7.0,
+                    7.0,
+                    7.0,
+                ]
         puts = [value for key, value in world.store.puts if key == "pt/options"]
         expect("stored_keys", "written", "options", puts)
 
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -71,10 +71,10 @@
     async def main() -> None:
         world = World(1)
         node = world.nodes[await world.led()]
-        usual = node._silence_limit_s(now())
+        usual = node.scheduling_loop.unresponsive_after_s(now())
         assert usual < world.workers.lease_s
         node.load_shedder.last_shed_at = now()
-        assert node._silence_limit_s(now()) == world.workers.lease_s
-        assert node._silence_limit_s(now() + usual + 1.0) == usual
+        assert node.scheduling_loop.unresponsive_after_s(now()) == world.workers.lease_s
+        assert node.scheduling_loop.unresponsive_after_s(now() + usual + 1.0) == usual
 
     play(main())
