--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,7 +35,7 @@
     test = tmp_path / "test_one.py"
     test.write_text(source)
     listed = tmp_path / "KNOWN-RED.txt"
-    listed.write_text(f"{test}::test_it, a cause, with commas, issue 1\n")
+    listed.write_text(f"{test}::test_it | pytest, seed 7 | seen, with commas | issue 1\n")
     assert known_red.main(listed) == code
     out, err = capsys.readouterr()
     assert "known red" in err
@@ -43,7 +43,15 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["a.py::t, c, i\n" * 4, "a.py::t\n", "a.py, cause, issue 1\n", "a.py::t, cause\n"]
+    "text",
+    [
+        pytest.param("a.py::t | pytest | seen | issue 1\n" * 4, id="a fourth test"),
+        pytest.param("a.py::t\n", id="a test alone"),
+        pytest.param("a.py | pytest | seen | issue 1\n", id="a file instead of a test"),
+        pytest.param("a.py::t | pytest | seen\n", id="no issue"),
+        pytest.param("a.py::t | pytest || issue 1\n", id="an empty part"),
+        pytest.param("a.py::t, a cause, issue 1\n", id="the form before"),
+    ],
 )
 def test_a_fourth_or_malformed_line_fails(known_red: ModuleType, tmp_path: Path, text: str) -> None:
     listed = tmp_path / "KNOWN-RED.txt"
