--- a/petrelthread/controller.py
+++ b/petrelthread/controller.py
@@ -19,6 +19,7 @@
     CommandPlanner,
     FailureDetector,
     Fleet,
+    FleetCallbacks,
     HeartbeatHandler,
     ZoneMonitor,
 )
@@ -110,13 +111,22 @@
             self._on_role,
             self._on_token,
         )
-        self.fleet = Fleet(self.cluster_state, workers.lease_s, workers.report_s, hold_over_s)
-        self.fleet.unacknowledged_starts.state_current_as_of = lambda: (
-            self.watch_cache.current_as_of
-        )
         claims = ClaimWriter(state, self.election.fence)
         self._claims = claims
         estimates = RunTimeEstimates()
+        self.fleet = Fleet(
+            self.cluster_state,
+            workers.lease_s,
+            workers.report_s,
+            hold_over_s,
+            FleetCallbacks(
+                on_change=lambda: self.scheduler.wake.set(),
+                on_replicas_lost=lambda: self.provisioner.wake.set(),
+                on_run_time=estimates.learn,
+                image_cache_gb=self._cache_gb,
+                state_current_as_of=lambda: self.watch_cache.current_as_of,
+            ),
+        )
         self.view = ClusterView(
             settings,
             self.cluster_state,
@@ -130,9 +140,12 @@
             settings.host_name, self.election, self.fleet, self.command_planner
         )
         self.dispatch = CommandDispatcher(
-            self.fleet, self.failure_detector, commands or request, commands_at_once
+            self.fleet,
+            self.failure_detector,
+            commands or request,
+            commands_at_once,
+            lambda: self.election.may_start_tasks,
         )
-        self.dispatch.may_start_tasks = lambda: self.election.may_start_tasks
         self.scheduler = Scheduler(
             settings,
             self.cluster_state,
@@ -161,10 +174,6 @@
             lambda: self.election.is_leader,
             self.zone_monitor.cut_off_since,
         )
-        self.fleet.on_change = self.scheduler.wake.set
-        self.fleet.on_replicas_lost = self.provisioner.wake.set
-        self.fleet.on_run_time = estimates.learn
-        self.fleet.image_cache_gb = self._cache_gb
         self.job_api = JobApi(
             settings, self.cluster_state, self.watch_cache, state, self.provisioner.catalog
         )
--- a/petrelthread/fleet/__init__.py
+++ b/petrelthread/fleet/__init__.py
@@ -1,5 +1,6 @@
 """The machines: what is known of them, what they are told, and when they count as lost."""
 
+from petrelthread.fleet.callbacks import FleetCallbacks
 from petrelthread.fleet.command_dispatcher import CommandDispatcher
 from petrelthread.fleet.command_planner import CommandPlanner
 from petrelthread.fleet.failure_detector import FailureDetector
@@ -13,6 +14,7 @@
     "CommandPlanner",
     "FailureDetector",
     "Fleet",
+    "FleetCallbacks",
     "Health",
     "HeartbeatHandler",
     "Machine",
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -26,14 +26,19 @@
 
 class CommandDispatcher:
     def __init__(
-        self, fleet: Fleet, silence: FailureDetector, request: Request, at_once: int
+        self,
+        fleet: Fleet,
+        failure_detector: FailureDetector,
+        request: Request,
+        max_concurrent_commands: int,
+        may_start_tasks: Callable[[], bool],
     ) -> None:
-        """``at_once``: how many commands may be under way."""
+        """Send commands with ``request`` while ``may_start_tasks`` allows it."""
         self._fleet = fleet
-        self._failure_detector = silence
+        self._failure_detector = failure_detector
         self._request = request
-        self._room = asyncio.Semaphore(at_once)
-        self.may_start_tasks: Callable[[], bool] = lambda: True
+        self._room = asyncio.Semaphore(max_concurrent_commands)
+        self._may_start_tasks = may_start_tasks
 
     def send(self, launches: list[Attempt], stops: list[Attempt]) -> None:
         """Send what a won claim allows. What is lost on the way rides on check-in answers."""
@@ -175,7 +180,7 @@
     def _still_to_start(self, machine: Machine, starting: list[Attempt]) -> list[Attempt]:
         """What waited for its turn may have gone out with the answer to a report meanwhile, or this
         controller may have lost the right to start it."""
-        if not self.may_start_tasks():
+        if not self._may_start_tasks():
             return []
         return [
             attempt
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -74,7 +74,7 @@
         if machine.failed_probes >= MAX_FAILED_PROBES and machine.health is Health.UP:
             log.info("machine %s is silent and does not answer", machine.name)
             machine.transition(Health.UNRESPONSIVE)
-            self._fleet.on_replicas_lost()
+            self._fleet.callbacks.on_replicas_lost()
 
     # ---- time --------------------------------------------------------------------------------
 
--- a/petrelthread/fleet/registry.py
+++ b/petrelthread/fleet/registry.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Collection
+from collections.abc import Collection
 
 from petrelthread import protocol
+from petrelthread.fleet.callbacks import NO_CALLBACKS, FleetCallbacks
 from petrelthread.fleet.job_failures import JobFailures
 from petrelthread.fleet.machine import Health, Machine
 from petrelthread.fleet.unacknowledged_starts import StartKey, UnacknowledgedStarts, key_of
@@ -40,6 +41,7 @@
         lease_s: float,
         heartbeat_interval_s: float,
         lease_grace_s: float,
+        callbacks: FleetCallbacks = NO_CALLBACKS,
     ) -> None:
         self.cluster_state = cluster_state
         self.lease_s = lease_s
@@ -51,17 +53,14 @@
         ] = {}  # machines that the cloud has said it will take
         self.job_failures = JobFailures(cluster_state, self.machines)
         self.finished_tasks: dict[int, set[int]] = {}  # done, not yet durable: job to tasks
-        self.unacknowledged_starts = UnacknowledgedStarts(lease_s, lease_grace_s)
+        self.unacknowledged_starts = UnacknowledgedStarts(
+            lease_s, lease_grace_s, callbacks.state_current_as_of
+        )
         self.epoch = 0  # with which this controller was elected
         self.fencing_token = 0  # what commands and answers carry: the epoch, or raised since
         self.elected_at = 0.0
         self.resumed_at = float("-inf")  # since when this process has not stood still
-        self.on_change: Callable[[], None] = lambda: None
-        self.on_replicas_lost: Callable[[], None] = lambda: (
-            None
-        )  # a machine with replicas has to go back
-        self.on_run_time: Callable[[Job, float], None] = lambda job, ran_s: None
-        self.image_cache_gb: Callable[[int], float] = lambda kind: 1e9
+        self.callbacks = callbacks
 
     # ---- machines --------------------------------------------------------------------------
 
@@ -171,7 +170,7 @@
         )
         self._credit_checkpoint(attempt, stopped=False)
         self.cluster_state.release(attempt)
-        self.on_change()
+        self.callbacks.on_change()
 
     def _credit_checkpoint(self, attempt: Attempt, stopped: bool) -> None:
         """What checkpoints keep of the attempt: only the rest of the task is still to run."""
@@ -302,7 +301,7 @@
             elif machine.health is Health.UNRESPONSIVE:
                 log.info("machine %s reports again", machine.name)
             machine.transition(Health.UP)
-            self.on_change()
+            self.callbacks.on_change()
         if report.spot_notice_s is not None:
             if machine.spot_notice_s is None:
                 log.info("machine %s will be taken in %.0f s", machine.name, report.spot_notice_s)
@@ -311,7 +310,7 @@
             machine.spot_notice_s = report.spot_notice_s
             if machine.health is Health.UP:
                 machine.transition(Health.DRAINING)
-                self.on_change()
+                self.callbacks.on_change()
 
     def _reconcile_tasks(
         self, machine: Machine, report: protocol.WorkerHeartbeat, now: float
@@ -376,7 +375,7 @@
             tasks = self.finished_tasks.setdefault(job.index, set())
             if task not in tasks:
                 tasks.add(task)
-                self.on_change()
+                self.callbacks.on_change()
 
     def _reconcile_listed(
         self, machine: Machine, attempt: Attempt, leg: protocol.TaskReport, now: float
@@ -399,19 +398,19 @@
             if not job.first_start_at:
                 job.first_start_at = now
             machine.use_image(
-                job.image, job.image_size_gb, self.image_cache_gb(machine.machine_type)
+                job.image, job.image_size_gb, self.callbacks.image_cache_gb(machine.machine_type)
             )
         if leg.state != protocol.TaskState.EXITED or before == protocol.TaskState.EXITED:
             return
-        self.on_change()
+        self.callbacks.on_change()
         if leg.exit_cause == protocol.ExitCause.DONE and not job.is_service:
             self.job_failures.on_completed(machine, job, attempt.task)
             machine.use_image(
-                job.image, job.image_size_gb, self.image_cache_gb(machine.machine_type)
+                job.image, job.image_size_gb, self.callbacks.image_cache_gb(machine.machine_type)
             )
             if attempt.running_at:
                 before_s = job.checkpointed_s.pop(attempt.task, 0.0)
-                self.on_run_time(job, before_s + now - attempt.running_at)
+                self.callbacks.on_run_time(job, before_s + now - attempt.running_at)
             if job.final_status is None:
                 self._finish(job, attempt.task)
             else:
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -31,7 +31,9 @@
         self.fleet = Fleet(cluster_state, 10.0, 1.0, 20.0)
         self.fleet.fail_over(EPOCH, asyncio.get_running_loop().time())
         self.asked: list[str] = []
-        self.dispatch = CommandDispatcher(self.fleet, FailureDetector(self.fleet), self.request, 1)
+        self.dispatch = CommandDispatcher(
+            self.fleet, FailureDetector(self.fleet), self.request, 1, lambda: True
+        )
         self.hearing, self.silent = self.machine("host-1"), self.machine("host-2")
         self.task = 0
 
@@ -127,7 +129,7 @@
         fleet.fail_over(3, 0.0)
         for number in range(4000):
             fleet.get_or_add(f"host-{number:06d}", 0.0).address = f"host-{number}:9"
-        dispatch = CommandDispatcher(fleet, FailureDetector(fleet), request, 4000)
+        dispatch = CommandDispatcher(fleet, FailureDetector(fleet), request, 4000, lambda: True)
         now, calls = 0.0, 0
         while len(set(asked)) < 4000:
             before = len(asked)
--- a/petrelthread/fleet/test_registry.py
+++ b/petrelthread/fleet/test_registry.py
@@ -8,19 +8,27 @@
 import pytest
 
 from petrelthread import protocol
-from petrelthread.fleet import CommandPlanner, FailureDetector, Fleet, Health, Machine
+from petrelthread.fleet import (
+    CommandPlanner,
+    FailureDetector,
+    Fleet,
+    FleetCallbacks,
+    Health,
+    Machine,
+)
+from petrelthread.fleet.callbacks import NO_CALLBACKS
 from petrelthread.state import Attempt, ClusterState, InternedNames, Job, OperationState
 from tests.world import job
 
 LEASE_S, REPORT_S, HOLD_OVER_S, EPOCH = 10.0, 1.0, 20.0, 5
 
 
-def fleet_at(elected_at: float) -> Fleet:
+def fleet_at(elected_at: float, callbacks: FleetCallbacks = NO_CALLBACKS) -> Fleet:
     cluster_state = ClusterState(InternedNames(["red"], ["a"]))
     cluster_state.accept(
         "wk-000001", Job.encode(msgspec.convert(job("wk-000001", 4), protocol.JobSpec), 0.0)
     )
-    fleet = Fleet(cluster_state, LEASE_S, REPORT_S, HOLD_OVER_S)
+    fleet = Fleet(cluster_state, LEASE_S, REPORT_S, HOLD_OVER_S, callbacks)
     fleet.fail_over(EPOCH, elected_at)
     return fleet
 
@@ -191,9 +199,8 @@
 
 def test_what_checkpoints_kept_is_not_run_again() -> None:
     # A task of 300 s that was stopped after 200 s was planned, and learned from, as if it were new.
-    fleet = fleet_at(100.0)
     learned: list[float] = []
-    fleet.on_run_time = lambda job, ran_s: learned.append(ran_s)
+    fleet = fleet_at(100.0, FleetCallbacks(on_run_time=lambda job, ran_s: learned.append(ran_s)))
     job = fleet.cluster_state.jobs[0]
     job.checkpoint_interval_s, job.grace_period_s = 30.0, 3.0
     assert job.lost_work_s(200.0, stopped=True) == 3.0
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -7,8 +7,7 @@
 import pytest
 
 from petrelthread import protocol
-from petrelthread.fleet import CommandPlanner
-from petrelthread.fleet.registry import Fleet
+from petrelthread.fleet import CommandPlanner, Fleet, FleetCallbacks
 from petrelthread.fleet.unacknowledged_starts import (
     STALE_AFTER_LEASES,
     RaiseReason,
@@ -27,10 +26,10 @@
     """One machine that has heard its leader, and one start that was sent to it at ``AT``."""
 
     def __init__(self) -> None:
-        self.fleet: Fleet = fleet_at(AT)
         self.read_at = AT
+        callbacks = FleetCallbacks(state_current_as_of=lambda: self.read_at)
+        self.fleet: Fleet = fleet_at(AT, callbacks)
         self.uncertain = self.fleet.unacknowledged_starts
-        self.uncertain.state_current_as_of = lambda: self.read_at
         self.fleet.on_heartbeat(report(1, EPOCH), AT, answered=True)
         self.machine, self.attempt = started(self.fleet, (EPOCH << 20) + 1)
         self.fleet.note_start_sent(self.attempt, self.machine, AT)
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -83,15 +83,22 @@
 class UnacknowledgedStarts:
     """All of them, by machine."""
 
-    def __init__(self, lease_s: float, lease_grace_s: float) -> None:
-        """``lease_s``: of workers. ``hold_over_s``: how long an answer may follow the newest read
-        of what was cancelled, so that the lease that it renews ends within ``cancel_s``."""
+    def __init__(
+        self, lease_s: float, lease_grace_s: float, state_current_as_of: Callable[[], float]
+    ) -> None:
+        """Hold no start yet.
+
+        Args:
+            lease_s: The duration of a worker's lease.
+            lease_grace_s: How long after the newest read of the state a worker may be answered, so
+                that the lease which that renews ends in time for a cancellation.
+            state_current_as_of: The start of the newest complete read of the state service.
+        """
         self._lease_s = lease_s
         self._lease_grace_s = lease_grace_s
         self._by_machine: dict[int, dict[StartKey, UnacknowledgedStart]] = {}
         self._raised_at = float("-inf")
-        # The start of the newest complete read: what was stored before that instant is known.
-        self.state_current_as_of: Callable[[], float] = lambda: float("-inf")
+        self._state_current_as_of = state_current_as_of
         self.past_bound_count = 0  # how many have outlived the bound; stays 0
 
     # ---- what becomes of a start -----------------------------------------------------------------
@@ -105,7 +112,7 @@
         """
         there = self._by_machine.setdefault(attempt.machine, {})
         there[key_of(attempt)] = UnacknowledgedStart(
-            attempt, machine, token, now, renewed_at, self.state_current_as_of()
+            attempt, machine, token, now, renewed_at, self._state_current_as_of()
         )
 
     def on_answered(self, attempt: Attempt) -> None:
@@ -233,7 +240,7 @@
 
     def _look(self, start: UnacknowledgedStart) -> None:
         if start.attempt.job.final_status is None:
-            start.known_open_at = max(start.known_open_at, self.state_current_as_of())
+            start.known_open_at = max(start.known_open_at, self._state_current_as_of())
 
     def _check_bound(self, now: float) -> None:
         """Say so if a start of a job that is over is still possible though it must not be."""
