--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -19,6 +19,7 @@
     CommandPlanner,
     FailureDetector,
     Fleet,
+    FleetCallbacks,
     HeartbeatHandler,
     ZoneMonitor,
 )
@@ -122,11 +123,19 @@
 
     def _build_fleet(self, commands: Request, commands_at_once: int) -> None:
         workers = self.settings.cluster.workers
+        self.estimates = RunTimeEstimates()
         self.fleet = Fleet(
-            self.cluster_state, workers.lease_s, workers.report_s, self.settings.lease_grace_s
-        )
-        self.fleet.unacknowledged_starts.state_current_as_of = lambda: (
-            self.watch_cache.current_as_of
+            self.cluster_state,
+            workers.lease_s,
+            workers.report_s,
+            self.settings.lease_grace_s,
+            FleetCallbacks(
+                on_change=lambda: self.scheduler.wake.set(),
+                on_replicas_lost=lambda: self.provisioner.wake.set(),
+                on_run_time=self.estimates.learn,
+                image_cache_gb=self._image_cache_gb,
+                state_current_as_of=lambda: self.watch_cache.current_as_of,
+            ),
         )
         self.failure_detector = FailureDetector(self.fleet)
         self.command_planner = CommandPlanner(self.fleet)
@@ -134,19 +143,21 @@
             self.settings.host_name, self.election, self.fleet, self.command_planner
         )
         self.dispatch = CommandDispatcher(
-            self.fleet, self.failure_detector, commands, commands_at_once
+            self.fleet,
+            self.failure_detector,
+            commands,
+            commands_at_once,
+            lambda: self.election.may_start_tasks,
         )
-        self.dispatch.may_start_tasks = lambda: self.election.may_start_tasks
         self.zone_monitor = ZoneMonitor(workers.report_s)
 
     def _build_scheduling(self) -> None:
-        estimates = RunTimeEstimates()
         self.view = ClusterView(
             self.settings,
             self.cluster_state,
             self.fleet,
             lambda: self.provisioner.machine_types,
-            estimates,
+            self.estimates,
         )
         self.scheduler = Scheduler(
             self.settings,
@@ -158,8 +169,6 @@
             self.watch_cache.refresh,
             lambda now: self.state.write_bucket.available(now, CLEAN_UP_RESERVE),
         )
-        self.fleet.on_change = self.scheduler.wake.set
-        self.fleet.on_run_time = estimates.learn
 
     def _build_provisioning(self, request: Request) -> None:
         cloud_rate = self.settings.cluster.cloud.rps * CLOUD_SHARE
@@ -176,8 +185,6 @@
             lambda: self.election.is_leader,
             self.zone_monitor.cut_off_since,
         )
-        self.fleet.on_replicas_lost = self.provisioner.wake.set
-        self.fleet.image_cache_gb = self._image_cache_gb
         self._state_changes = StateChangeHandler(
             self.election, self.cluster_state, self.scheduler, self.provisioner
         )
