--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -6,15 +6,19 @@
 import logging
 import os
 import sys
+from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
 from petrelthread import __version__
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+EXIT_BAD_ARGUMENT = 2
+
+Subparsers = argparse._SubParsersAction
 
 
 def parser() -> argparse.ArgumentParser:
+    """The parser of all subcommands."""
     top = argparse.ArgumentParser(
         prog="petrelthread", description="A cluster scheduler: controller and operator's tools."
     )
@@ -30,12 +34,12 @@
     commands.add_parser("version", help="print the version")
     commands.add_parser("warm", help="load the whole daemon once, so that it lies compiled")
     commands.add_parser("demo", help="a whole service on loopback, and the end of its leader")
-    _soak(commands)
+    _add_soak(commands)
     bench = commands.add_parser(
         "bench-rounds", help="what a leader's recurring work costs by the number of machines"
     )
     bench.add_argument("--machines", type=_positive, nargs="+", help="(default: 600 to 8000)")
-    _operators(commands)
+    _add_operator_commands(commands)
     return top
 
 
@@ -46,7 +50,7 @@
     return number
 
 
-def _soak(commands: Any) -> None:
+def _add_soak(commands: Subparsers[argparse.ArgumentParser]) -> None:
     soak = commands.add_parser(
         "soak", help="real controllers over loopback under random faults, judged from outside"
     )
@@ -62,7 +66,7 @@
     )
 
 
-def _operators(commands: Any) -> None:
+def _add_operator_commands(commands: Subparsers[argparse.ArgumentParser]) -> None:
     common = argparse.ArgumentParser(add_help=False)
     common.add_argument("--json", action="store_true", help="print the answer as JSON")
     common.add_argument(
@@ -85,39 +89,50 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Carry out one command line; the exit code."""
     top = parser()
     args = top.parse_args(argv)
-    if args.command == "version":
-        print(f"petrelthread {__version__}")
-        return 0
-    if args.command == "warm":
-        import petrelthread.cli.serve  # noqa: F401
-
-        return 0
-    if args.command == "check":
-        return _check(args.file)
-    if args.command == "demo":
-        from petrelthread.emulator.demo import play_demo
-
-        return play_demo()
-    if args.command == "soak":
-        return _play_soak(args)
-    if args.command == "bench-rounds":
-        from petrelthread.benchmark.rounds import SIZES, bench_rounds
-
-        return bench_rounds(args.machines or SIZES)
-    if args.command in ("status", "zones", "why", "settings"):
-        from petrelthread.cli.operate import operate
-
-        return operate(args)
-    path = args.file if args.command == "serve" else args.config
-    if path:
-        return _serve(path)
+    if args.command:
+        return _COMMANDS[args.command](args)
+    if args.config:
+        return _serve(args.config)
     top.print_usage(sys.stderr)
-    return 2
+    return EXIT_BAD_ARGUMENT
+
+
+# Modules are imported where they are needed: the daemon starts without the others.
+
+
+def _version(_args: argparse.Namespace) -> int:
+    print(f"petrelthread {__version__}")
+    return 0
+
+
+def _warm(_args: argparse.Namespace) -> int:
+    import petrelthread.cli.serve  # noqa: F401  (compiles it and all that it imports)
+
+    return 0
+
 
+def _demo(_args: argparse.Namespace) -> int:
+    from petrelthread.emulator.demo import play_demo
 
-def _play_soak(args: argparse.Namespace) -> int:
+    return play_demo()
+
+
+def _bench_rounds(args: argparse.Namespace) -> int:
+    from petrelthread.benchmark.rounds import SIZES, bench_rounds
+
+    return bench_rounds(args.machines or SIZES)
+
+
+def _operate(args: argparse.Namespace) -> int:
+    from petrelthread.cli.operate import operate
+
+    return operate(args)
+
+
+def _soak(args: argparse.Namespace) -> int:
     from pathlib import Path
 
     from petrelthread.emulator.loopback_world import LoopbackOptions
@@ -128,19 +143,19 @@
         options = replace(options, sources=Path(args.sources).resolve())
     if not (options.sources / "run.py").is_file():
         print(f"petrelthread: --sources: no run.py in {options.sources}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_ARGUMENT
     return play_seeds(range(args.first_seed, args.first_seed + args.seeds), options)
 
 
-def _check(path: str) -> int:
+def _check(args: argparse.Namespace) -> int:
     from petrelthread.settings import SettingsError, load
 
     try:
-        settings = load(path)
+        settings = load(args.file)
     except SettingsError as error:
         print(f"petrelthread: {error}", file=sys.stderr)
-        return 2
-    print(f"{path}: valid settings of {settings.host_name}")
+        return EXIT_BAD_ARGUMENT
+    print(f"{args.file}: valid settings of {settings.host_name}")
     return 0
 
 
@@ -151,7 +166,7 @@
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(level, logging.INFO),
+        level=LOG_LEVELS.get(level, logging.INFO),
         format="%(levelname).1s %(name)s: %(message)s",
     )
     logging.getLogger("asyncio").setLevel(logging.ERROR)
@@ -159,5 +174,20 @@
         settings = load(path)
     except SettingsError as error:
         print(f"petrelthread: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_ARGUMENT
     return serve(settings)
+
+
+_COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
+    "serve": lambda args: _serve(args.file),
+    "check": _check,
+    "version": _version,
+    "warm": _warm,
+    "demo": _demo,
+    "soak": _soak,
+    "bench-rounds": _bench_rounds,
+    "status": _operate,
+    "zones": _operate,
+    "why": _operate,
+    "settings": _operate,
+}
--- /dev/null
+++ b/petrelthread/cli/render.py
@@ -0,0 +1,102 @@
+"""Answers of the administration API as text for a terminal."""
+
+from __future__ import annotations
+
+from typing import Any
+
+MAX_SHOWN_OPERATIONS = 8
+
+JsonObject = dict[str, Any]
+
+
+def zones(answer: JsonObject) -> str:
+    """One line a zone."""
+    return "\n".join(
+        f"zone {zone['zone']:<16} {zone['says']} ({zone['up']} up, {zone['booting']} booting)"
+        for zone in answer["zones"]
+    )
+
+
+def job(answer: JsonObject) -> str:
+    """How a job stands and why it waits."""
+    return f"{answer['job']} ({answer['status']}, {answer['age_s']:.0f} s old): {answer['why']}"
+
+
+def changed_setting(answer: JsonObject) -> str:
+    """A setting that has just been changed."""
+    return f"{answer['name']} = {answer['value']} (version {answer['version']})"
+
+
+def settings(answer: JsonObject, name: str | None) -> str:
+    """All settings, or the one with this name."""
+    lines = [f"version {answer['version']}"]
+    lines += [
+        _setting(setting) for setting in answer["settings"] if name in (None, setting["name"])
+    ]
+    return "\n".join(lines)
+
+
+def _setting(setting: JsonObject) -> str:
+    source = "set" if setting["set"] else "default"
+    allowed = f"{setting['least']:g} to {setting['most']:g}"
+    return (
+        f"{setting['name']:<16} {setting['value']:<8g} {source:<8} {allowed:<12} {setting['says']}"
+    )
+
+
+def status(answer: JsonObject) -> str:
+    """Everything on one screen."""
+    lines = [
+        f"leader {answer['leader'] or 'none'}, epoch {answer['epoch']}; asked {answer['node']}"
+        f" ({answer['role']}), state service {_reachable(answer)}"
+    ]
+    lines += [
+        f"  {sibling['node']}: heard {sibling['heard_s_ago']} s ago,"
+        f" state service {_reachable(sibling)}"
+        for sibling in answer["siblings"]
+    ]
+    lines.append(zones(answer))
+    machines = (f"{count} {health}" for health, count in answer["machines"].items())
+    lines.append("machines: " + ", ".join(machines))
+    lines += [_backlog(name, entry) for name, entry in sorted(answer["backlog"].items())]
+    lines += [_team(team) for team in answer["teams"] if team["cores"]]
+    lines += [
+        f"TROUBLE for {trouble['for_s']:.0f} s: {trouble['trouble']}"
+        for trouble in answer["troubles"]
+    ]
+    lines += _operations(answer["operations"])
+    return "\n".join(lines)
+
+
+def _reachable(node: JsonObject) -> str:
+    return "ok" if node["state_service"] else "NOT ANSWERING"
+
+
+def _backlog(job_class: str, entry: JsonObject) -> str:
+    line = (
+        f"class {job_class}: {entry['jobs']} jobs, {entry['running']} tasks placed,"
+        f" {entry['waiting']} waiting"
+    )
+    if "replicas" in entry:
+        line += f"; {entry['serving']} of {entry['replicas']} replicas running"
+    return line
+
+
+def _team(team: JsonObject) -> str:
+    limit = "no limit" if team["limit"] is None else f"limit {team['limit']:g}"
+    return (
+        f"team {team['team']}: {team['cores']:g} cores (guaranteed {team['guaranteed']:g}, {limit})"
+    )
+
+
+def _operations(operations: list[JsonObject]) -> list[str]:
+    """The oldest only: after a failover there may be one for each of hundreds of machines."""
+    oldest = sorted(operations, key=lambda operation: -operation["age_s"])
+    lines = [
+        f"unknown: {operation['operation']}, {operation['age_s']} s; awaits {operation['awaits']}"
+        for operation in oldest[:MAX_SHOWN_OPERATIONS]
+    ]
+    hidden = len(oldest) - MAX_SHOWN_OPERATIONS
+    if hidden > 0:
+        lines.append(f"unknown: {hidden} more, all younger (--json lists them)")
+    return lines
--- a/petrelthread/cli/test_operate.py
+++ b/petrelthread/cli/test_operate.py
@@ -71,7 +71,8 @@
     answer(monkeypatch, code, {"error": "the reason"})
     assert main(["why", "wk-000001"]) == exit_code
     shown = capsys.readouterr()
-    assert "the reason" in shown.err and not shown.out
+    assert "the reason" in shown.err
+    assert not shown.out
 
 
 def test_a_value_that_is_no_number_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
