--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -102,10 +102,10 @@
         spec = job_spec(
             f"wk-{self._jobs:06d}",
             tasks,
-            crew=TEAM,
+            team=TEAM,
             cores=TASK_CORES,
-            bundle=f"img-{image:02d}",
-            size_gb=1.5,
+            image=f"img-{image:02d}",
+            image_size_gb=1.5,
         )
         value = Job.encode(msgspec.convert(spec, protocol.JobSpec), time.time())
         job = self.state.accept(str(spec["name_id"]), value)
--- a/petrelthread/emulator/demo.py
+++ b/petrelthread/emulator/demo.py
@@ -22,11 +22,20 @@
 LIMIT_S = 55.0
 SERVICE = "wk-000004"
 JOBS = (
-    PlannedJob(job_spec("wk-000001", 14, guess_s=4.0), 0.0, None, 4.0),
-    PlannedJob(job_spec("wk-000002", 4, crew="blue", same_place=True, guess_s=3.0), 0.5, None, 3.0),
-    PlannedJob(job_spec("wk-000003", 6, crew="guest", scatter=True, guess_s=5.0), 1.0, None, 5.0),
+    PlannedJob(job_spec("wk-000001", 14, estimated_run_s=4.0), 0.0, None, 4.0),
     PlannedJob(
-        job_spec(SERVICE, 3, crew="blue", shape="service", rank="prod", cores=1.0, scatter=True),
+        job_spec("wk-000002", 4, team="blue", single_zone=True, estimated_run_s=3.0), 0.5, None, 3.0
+    ),
+    PlannedJob(
+        job_spec("wk-000003", 6, team="guest", spread_zones=True, estimated_run_s=5.0),
+        1.0,
+        None,
+        5.0,
+    ),
+    PlannedJob(
+        job_spec(
+            SERVICE, 3, team="blue", kind="service", priority="prod", cores=1.0, spread_zones=True
+        ),
         0.0,
         None,
         0.0,
--- a/petrelthread/emulator/workload.py
+++ b/petrelthread/emulator/workload.py
@@ -6,6 +6,10 @@
 from dataclasses import dataclass
 from typing import Any
 
+import msgspec
+
+from petrelthread import protocol
+
 RANKS = ("low", "standard", "high", "prod")
 FINITE_TEAMS = ("red", "blue", "guest")
 IMAGES = 4
@@ -20,8 +24,12 @@
 OVERDUE_SINGLE_ZONE_SHARE = 0.7  # of the backlog
 
 
-def job_spec(job_id: str, tasks: int, **more: Any) -> dict[str, Any]:
-    """A submission as PROTOCOL has it; ``more`` replaces fields."""
+# The field of a submission for each attribute of the typed job.
+_FIELDS = {field.name: field.encode_name for field in msgspec.structs.fields(protocol.JobSpec)}
+
+
+def job_spec(job_id: str, tasks: int, **attributes: Any) -> dict[str, Any]:
+    """The JSON object of a submission. ``attributes``: of ``protocol.JobSpec``, or their fields."""
     spec = {
         "name_id": job_id,
         "jobclass": "batch",
@@ -41,7 +49,7 @@
         "mark_s": 0.0,
         "stow_s": 0.0,
     }
-    return {**spec, **more}
+    return spec | {_FIELDS.get(name, name): value for name, value in attributes.items()}
 
 
 @dataclass(frozen=True)
@@ -90,19 +98,19 @@
     spec = job_spec(
         job_id,
         min(tasks, 4) if service else tasks,
-        jobclass=randomness.choice(("batch", "rush")),
-        crew=randomness.choice(FINITE_TEAMS[:2] if service else FINITE_TEAMS),
-        shape="service" if service else "array",
-        rank="prod" if service else randomness.choice(RANKS),
+        job_class=randomness.choice(("batch", "rush")),
+        team=randomness.choice(FINITE_TEAMS[:2] if service else FINITE_TEAMS),
+        kind="service" if service else "array",
+        priority="prod" if service else randomness.choice(RANKS),
         cores=1.0 if service else randomness.choice((1.0, 2.0)),
         ram_gb=1.0,
-        bundle=f"img-{randomness.randrange(IMAGES)}",
-        same_place=same_place,
-        scatter=scatter,
-        driftwood=randomness.random() < 0.8,
-        roost=randomness.choice(zones) if randomness.random() < 0.1 else None,
-        guess_s=0.0 if service else round(randomness.uniform(*RUN_S), 1),
-        due_s=None if service or randomness.random() < 0.5 else 60.0,
+        image=f"img-{randomness.randrange(IMAGES)}",
+        single_zone=same_place,
+        spread_zones=scatter,
+        spot_allowed=randomness.random() < 0.8,
+        zone=randomness.choice(zones) if randomness.random() < 0.1 else None,
+        estimated_run_s=0.0 if service else round(randomness.uniform(*RUN_S), 1),
+        deadline_s=None if service or randomness.random() < 0.5 else 60.0,
     )
     if scatter:
         spec["roost"] = None  # half of the tasks would never find a zone
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -84,7 +84,7 @@
         for _ in range(jobs):
             self.count += 1
             crew = f"team-{self.count % TEAMS:02d}"
-            spec = job(f"wk-{self.count:06d}", tasks, crew=crew, guess_s=20.0, **more)
+            spec = job(f"wk-{self.count:06d}", tasks, team=crew, estimated_run_s=20.0, **more)
             spec["bundle"] = f"img-{self.count % 6}"
             await self.world.submit(spec)
             self.asked[spec["name_id"]] = asyncio.get_running_loop().time()
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -41,7 +41,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 8.0
-        await world.submit(job("wk-000001", 30, guess_s=30.0))
+        await world.submit(job("wk-000001", 30, estimated_run_s=30.0))
         await world.running(6)
         deaf = next(iter(world.cloud.machines))
         worker: Worker = world.cloud.machines[deaf]["worker"]
@@ -60,7 +60,7 @@
 def test_a_machine_that_hears_again_is_used_again() -> None:
     async def scenario(world: World) -> None:
         world.run_s = 4.0
-        await world.submit(job("wk-000001", 60, guess_s=30.0))
+        await world.submit(job("wk-000001", 60, estimated_run_s=30.0))
         await world.running(6)
         deaf = next(iter(world.cloud.machines))
         worker: Worker = world.cloud.machines[deaf]["worker"]
@@ -81,7 +81,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 30.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         legs = await world.running(6)
         worker = world.where(legs[0])
         await asyncio.sleep(3.0)
@@ -108,7 +108,7 @@
         )
         for n in range(4):
             crew = "red" if n % 2 else "blue"
-            await world.submit(job(f"wk-{n:06d}", 6, crew=crew, guess_s=20.0))
+            await world.submit(job(f"wk-{n:06d}", 6, team=crew, estimated_run_s=20.0))
         legs = await world.running(4)
         lost = world.where(legs[0])
         world.net.cut |= {frozenset((lost.name, n)) for n in NODES}  # a session ends, or it goes
@@ -136,8 +136,8 @@
 def test_a_leader_that_has_only_its_workers(cloud_too: bool) -> None:
     async def scenario(world: World) -> None:
         world.run_s = 60.0
-        await world.submit(job("wk-000001", 4, guess_s=60.0))
-        await world.submit(job("wk-000002", 4, crew="blue", guess_s=60.0))
+        await world.submit(job("wk-000001", 4, estimated_run_s=60.0))
+        await world.submit(job("wk-000002", 4, team="blue", estimated_run_s=60.0))
         await world.running(8)
         old = await world.led()
         since = now()
@@ -184,7 +184,9 @@
     async def scenario(world: World) -> None:
         world.net.copy = copy
         for n in range(3):
-            await world.submit(job(f"wk-{n:06d}", 6, crew=("red", "blue")[n % 2], guess_s=20.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=20.0)
+            )
         for _ in range(6):
             name = chance.choice(NODES)
             world.crash(name)
@@ -258,10 +260,10 @@
     """Moore's rule alone puts a hopeless job behind every small one, for as long as they come."""
 
     async def scenario(world: World) -> None:
-        await world.submit(job("wk-100000", 400, guess_s=5.0))
+        await world.submit(job("wk-100000", 400, estimated_run_s=5.0))
         large = now()
         for n in range(75):
-            await world.submit(job(f"wk-{n:06d}", 3, guess_s=5.0))
+            await world.submit(job(f"wk-{n:06d}", 3, estimated_run_s=5.0))
             await asyncio.sleep(2.9)
         begun = [at for leg, at in world.judge.started_at.items() if leg.startswith("wk-100000/")]
         assert begun
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -26,7 +26,7 @@
         world.net.fate = fate
         world.net.answer_delay = lambda target: ANSWER_LATE_S if target == "/multi" else 0.0
         for n in range(4):
-            await world.submit(job(f"wk-{n:06d}", 3, crew="red" if n % 2 else "blue"))
+            await world.submit(job(f"wk-{n:06d}", 3, team="red" if n % 2 else "blue"))
         await world.until_over(120.0)
 
     world = run(scenario)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -69,7 +69,7 @@
 
 def test_a_single_zone_job_may_go_elsewhere_once_all_its_tasks_have_left() -> None:
     def scenario(world: World) -> None:
-        world.jobs["wk-000001"] = job("wk-000001", 2, same_place=True)
+        world.jobs["wk-000001"] = job("wk-000001", 2, single_zone=True)
         start(world, "wk-000001/0", 1, "a")
         world.judge.left("wk-000001/0", "host-000001")
         start(world, "wk-000001/0", 2, "b")
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -34,7 +34,7 @@
     async def scenario(world: World) -> None:
         for n in range(6):
             crew = "red" if n % 2 else "blue"
-            await world.submit(job(f"wk-{n:06d}", 3 + n, crew=crew))
+            await world.submit(job(f"wk-{n:06d}", 3 + n, team=crew))
         await world.until_over(120.0)
 
     world = run(scenario, seed)
@@ -94,7 +94,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 25.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         await world.running(4)
         old = await world.led()
         others = {"state", "cloud", "user", *NODES} | set(world.cloud.machines)
@@ -127,7 +127,7 @@
 
         world.net.fate = fate
         await world.submit(job("wk-000001", 6))
-        await world.submit(job("wk-000002", 3, crew="blue"))
+        await world.submit(job("wk-000002", 3, team="blue"))
         await world.running(2)
         await world.cancel("wk-000002")
         await asyncio.sleep(3.0)
@@ -202,7 +202,7 @@
 def test_state_outage_longer_than_a_worker_lease_kills_no_work() -> None:
     async def scenario(world: World) -> None:
         world.run_s = 30.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         await world.running(6)
         world.store.outage(True)
         status, _ = await world.ask("n0", "GET", "/v2/runs/wk-000001")
@@ -236,7 +236,7 @@
 def test_leader_whom_no_worker_reaches_resigns() -> None:
     async def scenario(world: World) -> None:
         world.run_s = 20.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         await world.running(6)
         old = await world.led()
         world.net.cut |= {frozenset((old, name)) for name in world.cloud.machines}
@@ -251,7 +251,7 @@
 def test_all_controllers_restart(pause: float) -> None:
     async def scenario(world: World) -> None:
         await world.submit(job("wk-000001", 12))
-        await world.submit(job("wk-000002", 4, crew="blue"))
+        await world.submit(job("wk-000002", 4, team="blue"))
         await world.running(4)
         for name in NODES:
             world.crash(name)
@@ -268,7 +268,7 @@
     async def scenario(world: World) -> None:
         world.run_s = 60.0
         await world.submit(job("wk-000001", 4))
-        await world.submit(job("wk-000002", 2, crew="blue"))
+        await world.submit(job("wk-000002", 2, team="blue"))
         await asyncio.sleep(after)
         assert await world.cancel("wk-000001") == "aborted"
         assert await world.cancel("wk-000001") == "aborted"
@@ -283,11 +283,11 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 12.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         legs = await world.running(6)
         lost = world.where(legs[0])
         world.net.cut |= {frozenset((lost.name, n)) for n in NODES}
-        await world.submit(job("wk-000002", 2, crew="blue"))
+        await world.submit(job("wk-000002", 2, team="blue"))
         await world.until_over(120.0)
 
     run(scenario)
@@ -296,7 +296,7 @@
 def test_hanging_machine_resumes() -> None:
     async def scenario(world: World) -> None:
         world.run_s = 12.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         legs = await world.running(6)
         worker = world.where(legs[0])
         worker.frozen = True
@@ -313,7 +313,7 @@
         legs = await world.running(2)
         sick = world.where(legs[0])
         sick.faulty = True
-        await world.submit(job("wk-000002", 6, crew="blue"))
+        await world.submit(job("wk-000002", 6, team="blue"))
         await world.until_over(150.0)
         assert sick.dead
 
@@ -323,8 +323,8 @@
 def test_limits_zones_and_kinds() -> None:
     async def scenario(world: World) -> None:
         await world.submit(job("wk-000001", 20))
-        await world.submit(job("wk-000002", 4, crew="blue", roost="b", driftwood=False))
-        await world.submit(job("wk-000003", 2, crew="blue", same_place=True))
+        await world.submit(job("wk-000002", 4, team="blue", zone="b", spot_allowed=False))
+        await world.submit(job("wk-000003", 2, team="blue", single_zone=True))
         await world.until_over(200.0)
 
     run(scenario)
@@ -335,7 +335,7 @@
 
     async def scenario(world: World) -> None:
         await world.submit(job("wk-000001", 2))
-        await world.submit(job("wk-000002", 2, crew="blue"))
+        await world.submit(job("wk-000002", 2, team="blue"))
         await world.cancel("wk-000002")
         await world.until_over(60.0)
         for name in NODES:
@@ -376,7 +376,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 15.0
-        await world.submit(job("wk-000001", 4, guess_s=60.0))
+        await world.submit(job("wk-000001", 4, estimated_run_s=60.0))
         await world.running(2)
         node = world.nodes[await world.led()]
         found = node.cluster_state.jobs_by_id["wk-000001"]
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -95,7 +95,7 @@
         world.mistaken.add("wk-000002")
         world.spread_s = 6.0
         for n in range(4):
-            await world.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2]))
+            await world.submit(job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2]))
         await asyncio.sleep(25.0)
         world.crash(await world.led())
         await asyncio.sleep(60.0)
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -76,7 +76,7 @@
     number = 100
     while now() < until:
         number += 1
-        await world.submit(job(f"wk-{number:06d}", 4, crew=("red", "blue")[number % 2]))
+        await world.submit(job(f"wk-{number:06d}", 4, team=("red", "blue")[number % 2]))
         await asyncio.sleep(4.0)
 
 
@@ -322,10 +322,10 @@
                 return 1.5, False  # longer than it takes to raise the token and to report
             return 0.0, False
 
-        await world.submit(job("wk-000002", 4, guess_s=30.0))
+        await world.submit(job("wk-000002", 4, estimated_run_s=30.0))
         await world.running(4)
         world.net.fate = fate
-        await world.submit(job("wk-000003", 2, guess_s=30.0))
+        await world.submit(job("wk-000003", 2, estimated_run_s=30.0))
         while not refused:
             await asyncio.sleep(0.01)
         await asyncio.sleep(raised_after_s)
@@ -356,7 +356,7 @@
         held.others = all_lost
         before, since = node.election.fencing_token, now()
         for n in range(200, 230):
-            await world.submit(job(f"wk-{n:06d}", 3, crew=("red", "blue", "guest")[n % 3]))
+            await world.submit(job(f"wk-{n:06d}", 3, team=("red", "blue", "guest")[n % 3]))
             await asyncio.sleep(world.random.uniform(0.2, 2.0))
             await world.try_to_cancel(f"wk-{n:06d}", leader)
             await asyncio.sleep(world.random.uniform(0.2, 2.0))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -48,7 +48,9 @@
     async def scenario(world: World) -> None:
         world.run_s = 200.0
         for n in (1, 2):
-            await world.submit(job(f"wk-{n:06d}", 6, crew=("red", "blue")[n % 2], guess_s=200.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=200.0)
+            )
         await world.running(8)
         leader = await world.led()
 
@@ -63,7 +65,7 @@
             world.net.fate = fate
         # The watch that is still open tells one more change; what comes after it stays unread.
         world.run_s_of["wk-000003"] = 1.0
-        await world.submit(job("wk-000003", 1, crew="guest"), nodes=others(leader))
+        await world.submit(job("wk-000003", 1, team="guest"), nodes=others(leader))
         await asyncio.sleep(0.1)
         confirmed = 0
         until = now() + before_s
@@ -94,7 +96,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 100.0
-        await world.submit(job("wk-000001", 4, guess_s=100.0))
+        await world.submit(job("wk-000001", 4, estimated_run_s=100.0))
         await world.running(4)
         leader = await world.led()
         election = world.nodes[leader].election
@@ -124,7 +126,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 100.0
-        await world.submit(job("wk-000001", 4, guess_s=100.0))
+        await world.submit(job("wk-000001", 4, estimated_run_s=100.0))
         await world.running(4)
         leader = await world.led()
         deaf = set(world.cloud.machines)
@@ -190,7 +192,7 @@
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
             await asyncio.sleep(number * 1.5)
-            spec = job(job_id, 1 + number % 3, crew=("red", "blue", "guest")[number % 3])
+            spec = job(job_id, 1 + number % 3, team=("red", "blue", "guest")[number % 3])
             await world.submit(spec)
             await look_closely(world, job_id)
             if number % 3 == 0:
@@ -235,7 +237,9 @@
         world.spread_s = 6.0
         world.net.fate = lost_answers(world, 0.35, late)
         for n in range(6):
-            await world.submit(job(f"wk-{n:06d}", 6, crew=("red", "blue")[n % 2], guess_s=10.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
+            )
         await world.running(2)
         for n in range(5):
             await asyncio.sleep(world.random.uniform(1.0, 7.0))
@@ -266,7 +270,7 @@
             return (late_s, True) if rounds and source == first else (0.0, False)
 
         world.net.fate = fate
-        await world.submit(job("wk-000001", 6, guess_s=15.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=15.0))
         await asyncio.sleep(9.0)
         world.crash(first)
         await world.led()
@@ -283,7 +287,7 @@
     async def scenario(world: World) -> None:
         leader = await world.led()
         for n in (1, 2):
-            await world.submit(job(f"wk-{n:06d}", 2, guess_s=5.0))
+            await world.submit(job(f"wk-{n:06d}", 2, estimated_run_s=5.0))
         await asyncio.sleep(1.0)
         world.net.fate = lambda source, addr, method, target, body: (
             (0.0, source == leader and target.startswith("/watch"))
@@ -312,7 +316,9 @@
     async def scenario(world: World) -> None:
         world.run_s = 60.0
         for n in range(6):
-            await world.submit(job(f"wk-{n:06d}", 6, crew=("red", "blue")[n % 2], guess_s=60.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=60.0)
+            )
         legs = await world.running(12)  # both limits of 12 cores
         first = {leg.rpartition("/")[0] for leg in legs}
         names = {world.where(leg).name for leg in legs[:5]}
@@ -364,7 +370,7 @@
         world.run_s = 50.0
         for n in range(10):
             crew = ("red", "blue", "guest")[n % 3]
-            await world.submit(job(f"wk-{n:06d}", 2, crew=crew, guess_s=50.0))
+            await world.submit(job(f"wk-{n:06d}", 2, team=crew, estimated_run_s=50.0))
         await world.running(8)
 
         async def users() -> None:
@@ -414,7 +420,9 @@
             else (0.0, False)
         )
         for n in range(4):
-            await world.submit(job(f"wk-{n:06d}", 6, crew=("red", "blue")[n % 2], guess_s=15.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=15.0)
+            )
         for _ in range(4):
             await asyncio.sleep(world.random.uniform(0.4, 5.0))
             leader = await world.led()
@@ -446,7 +454,9 @@
 
         world.net.fate = keep
         for n in range(5):
-            await world.submit(job(f"wk-{n:06d}", 6, crew=("red", "blue")[n % 2], guess_s=10.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
+            )
         legs = await world.running(6)
         lost = world.where(legs[0])
         world.net.cut |= {frozenset((lost.name, node)) for node in NODES}  # its session ends
@@ -481,7 +491,7 @@
 
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
-            await world.submit(job(job_id, 1, crew="guest", cores=0.5, guess_s=2.0))
+            await world.submit(job(job_id, 1, team="guest", cores=0.5, estimated_run_s=2.0))
             if number % 4 == 0:
                 await asyncio.sleep(world.random.uniform(0.0, 2.0))
                 asked = now()
@@ -510,7 +520,7 @@
     async def scenario(world: World) -> None:
         world.run_s = 60.0
         for n in range(2):
-            await world.submit(job(f"wk-{n:06d}", 3, crew="guest", cores=1.0, guess_s=60.0))
+            await world.submit(job(f"wk-{n:06d}", 3, team="guest", cores=1.0, estimated_run_s=60.0))
         await world.running(6)
         await asyncio.sleep(6.0)
         names = set(world.cloud.machines)
@@ -527,7 +537,7 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(after_s)
         for n in range(2, 5):
-            spec = job(f"wk-{n:06d}", 2, crew="guest", cores=1.0, guess_s=60.0)
+            spec = job(f"wk-{n:06d}", 2, team="guest", cores=1.0, estimated_run_s=60.0)
             await world.submit(spec, nodes=others(leader))
             await asyncio.sleep(1.0)
         for _ in range(40):
@@ -556,7 +566,7 @@
 
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
-            spec = job(job_id, 1 + number % 2, crew=("red", "blue", "guest")[number % 3])
+            spec = job(job_id, 1 + number % 2, team=("red", "blue", "guest")[number % 3])
             await world.submit(spec)
             last = f"{job_id}/{spec['legs'] - 1}"
             while last not in world.judge.completed:
@@ -583,7 +593,9 @@
         world.run_s, world.spread_s = 4.0, 45.0
         for n in range(10):
             crew = ("red", "blue", "guest")[n % 3]
-            await world.submit(job(f"wk-{n:06d}", 2 + n % 2, crew=crew, cores=1.0, guess_s=20.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 2 + n % 2, team=crew, cores=1.0, estimated_run_s=20.0)
+            )
         await world.running(10)
         for n in range(10):
             await asyncio.sleep(world.random.uniform(2.0, 9.0))
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -40,8 +40,10 @@
 
     async def scenario(world: World) -> None:
         await world.submit(job("wk-000001", 6))
-        await world.submit(job("wk-000002", 20, crew="guest", jobclass="idle-scan", rank="low"))
-        await world.submit(job("wk-000003", 1, crew="guest", jobclass="tiny", guess_s=0.0))
+        await world.submit(
+            job("wk-000002", 20, team="guest", job_class="idle-scan", priority="low")
+        )
+        await world.submit(job("wk-000003", 1, team="guest", job_class="tiny", estimated_run_s=0.0))
         await world.until_over(120.0)
         assert set(world.judge.answers.values()) == {"done"}
 
@@ -54,11 +56,19 @@
     async def scenario(world: World) -> None:
         world.spread_s = 10.0
         # Their teams' limits are all the cores there are, and no machine is ever empty by itself.
-        await world.submit(job("wk-000001", 2000, cores=1.0, crew="red", guess_s=8.0))
-        await world.submit(job("wk-000002", 2000, cores=1.0, crew="blue", guess_s=8.0))
+        await world.submit(job("wk-000001", 2000, cores=1.0, team="red", estimated_run_s=8.0))
+        await world.submit(job("wk-000002", 2000, cores=1.0, team="blue", estimated_run_s=8.0))
         await world.running(16)
         asked = now()
-        wide = job("wk-000003", 3, cores=4.0, ram_gb=4.0, crew="guest", rank="low", guess_s=20.0)
+        wide = job(
+            "wk-000003",
+            3,
+            cores=4.0,
+            ram_gb=4.0,
+            team="guest",
+            priority="low",
+            estimated_run_s=20.0,
+        )
         await world.submit(wide)
         while "wk-000003/0" not in world.judge.started_at:
             await asyncio.sleep(1.0)
@@ -79,7 +89,9 @@
     async def scenario(world: World) -> None:
         world.mistaken |= {"wk-000001", "wk-000002"}
         for n in range(1, 7):
-            await world.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], guess_s=20.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
+            )
         await asyncio.sleep(30.0)
         begun = tries_of(world, "wk-000001")
         world.crash(await world.led())
@@ -111,7 +123,9 @@
     async def scenario(world: World) -> None:
         world.mistaken |= {"wk-000001"}
         for n in range(1, 5):
-            await world.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], guess_s=20.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
+            )
         await world.running(4)
         faulty: Worker = next(m["worker"] for m in world.cloud.machines.values())
         faulty.faulty = True
@@ -128,8 +142,8 @@
 
 def test_a_job_with_some_bad_tasks_is_served() -> None:
     async def scenario(world: World) -> None:
-        await world.submit(job("wk-000001", 30, guess_s=5.0))
-        await world.submit(job("wk-000002", 30, crew="blue", guess_s=5.0))
+        await world.submit(job("wk-000001", 30, estimated_run_s=5.0))
+        await world.submit(job("wk-000002", 30, team="blue", estimated_run_s=5.0))
         world.bad_tasks |= {f"wk-000001/{n}" for n in (0, 1, 2, 3, 7)}
         await asyncio.sleep(75.0)
         node = world.nodes[await world.led()]
@@ -156,8 +170,8 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 20.0
-        await world.submit(job("wk-000001", 12, guess_s=20.0))
-        await world.submit(job("wk-000002", 12, crew="blue", guess_s=20.0))
+        await world.submit(job("wk-000001", 12, estimated_run_s=20.0))
+        await world.submit(job("wk-000002", 12, team="blue", estimated_run_s=20.0))
         await world.running(8)
         rented = world.cloud.rented
         old = await world.led()
@@ -189,7 +203,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 60.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         machines = {world.where(leg).name for leg in await world.running(6)}
         old = await world.led()
         world.store.outage(True)
@@ -209,7 +223,9 @@
     async def scenario(world: World) -> None:
         world.run_s = 10.0
         for n in range(1, 5):
-            await world.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], guess_s=10.0))
+            await world.submit(
+                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=10.0)
+            )
         await world.running(6)
         old = await world.led()
         world.crash(old)
@@ -226,7 +242,7 @@
 def test_a_node_refused_by_the_state_service_alone_says_so() -> None:
     async def scenario(world: World) -> None:
         world.run_s = 10.0
-        await world.submit(job("wk-000001", 12, guess_s=10.0))
+        await world.submit(job("wk-000001", 12, estimated_run_s=10.0))
         await world.running(4)
         refused = next(name for name in world.nodes if name != world.leader)
         world.store.refused.add(refused)
@@ -267,7 +283,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 4.0
-        await world.submit(job("wk-000001", 60, guess_s=4.0))
+        await world.submit(job("wk-000001", 60, estimated_run_s=4.0))
         await world.running(6)
         old = await world.led()
         still = asyncio.ensure_future(world.stand_still(old, 30.0))
@@ -296,7 +312,7 @@
         world.cloud.capacity = {True: 0, False: 0}
         node = world.nodes[await world.led()]
         node.scheduler.builder.spare_writes = lambda now: 0  # none to strike them out with
-        await world.submit(job("wk-000001", 4, guess_s=10.0))
+        await world.submit(job("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
         old = set(world.cloud.asked)
         assert len(old) > 3
@@ -314,7 +330,7 @@
 def test_machines_late_in_booting_or_never_up_are_replaced(never: bool) -> None:
     async def scenario(world: World) -> None:
         world.late_boots_s = 900.0 if never else 25.0
-        await world.submit(job("wk-000001", 8, guess_s=5.0))
+        await world.submit(job("wk-000001", 8, estimated_run_s=5.0))
         await asyncio.sleep(3.0)
         first = set(world.cloud.machines)
         world.late_boots_s = 0.0
@@ -414,7 +430,7 @@
             crew = ("red", "blue", "guest")[n % 3]
             rank = "low" if crew == "guest" else chance.choice(["standard", "high"])
             more = {"mark_s": 2.0, "stow_s": 1.0} if crew == "guest" else {}
-            spec = job(f"wk-{n:06d}", chance.choice([1, 4, 20]), crew=crew, rank=rank, **more)
+            spec = job(f"wk-{n:06d}", chance.choice([1, 4, 20]), team=crew, priority=rank, **more)
             await world.submit({**spec, "cores": chance.choice([1.0, 2.0, 4.0])})
         await world.running(2)
         ends = []
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,10 +19,10 @@
         world = World(1, replace(SMALL, text=text, spot=5, ordinary=0))
         world.run_s = 60.0
         await world.submit(job("wk-000001", 30))
-        await world.submit(job("wk-000002", 30, crew="blue"))
+        await world.submit(job("wk-000002", 30, team="blue"))
         await world.running(10)
         asked = asyncio.get_running_loop().time()
-        await world.submit(job("wk-000003", 2, crew="blue", jobclass="rush", rank="high"))
+        await world.submit(job("wk-000003", 2, team="blue", job_class="rush", priority="high"))
         while "wk-000003/1" not in world.judge.started_at:
             await asyncio.sleep(0.1)
         assert world.judge.started_at["wk-000003/1"] - asked < 6.0
@@ -37,10 +37,12 @@
     async def scenario() -> None:
         world = World(1, replace(SMALL, spot=2, ordinary=0))
         world.run_s = 40.0
-        await world.submit(job("wk-000001", 2, guess_s=40.0))  # four cores: just the guarantee
-        await world.submit(job("wk-000002", 2, guess_s=40.0, crew="blue"))
+        await world.submit(
+            job("wk-000001", 2, estimated_run_s=40.0)
+        )  # four cores: just the guarantee
+        await world.submit(job("wk-000002", 2, estimated_run_s=40.0, team="blue"))
         await world.running(4)
-        await world.submit(job("wk-000003", 2, jobclass="rush", rank="high"))
+        await world.submit(job("wk-000003", 2, job_class="rush", priority="high"))
         await world.until_over(200.0)
         assert world.judge.starts == 6
         assert not world.judge.broken
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -20,9 +20,18 @@
     return asyncio.get_running_loop().time()
 
 
-def service(job_id: str, replicas: int, **more: Any) -> dict[str, Any]:
-    spec = job(job_id, replicas, shape="service", rank="prod", guess_s=0.0, driftwood=False)
-    return {**spec, "cores": 1.0, "ram_gb": 1.0, "due_s": None, **more}
+def service(job_id: str, replicas: int, **attributes: Any) -> dict[str, Any]:
+    """The submission of a small service; ``attributes`` of the typed job replace others."""
+    defaults = {
+        "kind": "service",
+        "priority": "prod",
+        "estimated_run_s": 0.0,
+        "spot_allowed": False,
+        "cores": 1.0,
+        "ram_gb": 1.0,
+        "deadline_s": None,
+    }
+    return job(job_id, replicas, **(defaults | attributes))
 
 
 def missing(world: World) -> list[str]:
@@ -61,7 +70,7 @@
 def test_replicas_run_until_they_are_called_off() -> None:
     async def scenario(world: World) -> None:
         await world.submit(service("wk-000001", 3))
-        await world.submit(job("wk-000002", 8, crew="blue"))
+        await world.submit(job("wk-000002", 8, team="blue"))
         await served(world, 20.0)
         await asyncio.sleep(60.0)
         assert not missing(world)
@@ -86,7 +95,9 @@
         status, _ = await world.ask("n0", "POST", "/v2/runs", service("wk-000009", 13))
         assert status == 422
         await world.submit(service("wk-000001", 12))
-        no_checkpoints = service("wk-000002", 1, crew="blue", mark_s=None, stow_s=None)
+        no_checkpoints = service(
+            "wk-000002", 1, team="blue", checkpoint_interval_s=None, grace_period_s=None
+        )
         await world.submit(no_checkpoints)
         await served(world, 30.0)
         await end(world)
@@ -112,7 +123,7 @@
 
     async def scenario(world: World) -> None:
         await world.submit(service("wk-000001", 4))
-        await world.submit(job("wk-000002", 30, crew="blue", guess_s=5.0))
+        await world.submit(job("wk-000002", 30, team="blue", estimated_run_s=5.0))
         await served(world, 20.0)
         await asyncio.sleep(10.0)
         leg = "wk-000001/0"
@@ -153,7 +164,7 @@
         await served(world, 20.0)
         for n in (2, 3):
             crew = "blue" if n == 2 else "guest"
-            await world.submit(job(f"wk-{n:06d}", 40, crew=crew, guess_s=40.0))
+            await world.submit(job(f"wk-{n:06d}", 40, team=crew, estimated_run_s=40.0))
         await asyncio.sleep(20.0)
         ordinary = [m for m in world.cloud.machines.values() if not m["driftwood"]]
         assert len(ordinary) == 3  # all there are; what the replicas leave free runs other work
@@ -172,17 +183,17 @@
     """One loss takes few: by the machine rule alone all went where their image was cached."""
 
     async def scenario(world: World) -> None:
-        await world.submit(job("wk-000002", 4, crew="blue"))
-        await world.submit(service("wk-000001", 4, scatter=True))
+        await world.submit(job("wk-000002", 4, team="blue"))
+        await world.submit(service("wk-000001", 4, spread_zones=True))
         await served(world, 30.0)
         zones: dict[str, int] = {}
         for n in range(4):
             zone = world.where(f"wk-000001/{n}").machine["roost"]
             zones[zone] = zones.get(zone, 0) + 1
         assert max(zones.values()) <= 2
-        await world.submit(service("wk-000003", 1, crew="blue"))
+        await world.submit(service("wk-000003", 1, team="blue"))
         await served(world, 30.0)
-        await world.submit(service("wk-000004", 3, crew="guest"))  # the same image
+        await world.submit(service("wk-000004", 3, team="guest"))  # the same image
         await served(world, 30.0)
         assert len({world.where(f"wk-000004/{n}").name for n in range(3)}) > 1
         await end(world)
@@ -226,8 +237,8 @@
         chance = random.Random(seed)
         for n in range(3):
             crew = ("red", "blue", "guest")[n]
-            await world.submit(service(f"wk-{n:06d}", 3, crew=crew, scatter=n == 1))
-            await world.submit(job(f"wk-{n + 10:06d}", 12, crew=crew))
+            await world.submit(service(f"wk-{n:06d}", 3, team=crew, spread_zones=n == 1))
+            await world.submit(job(f"wk-{n + 10:06d}", 12, team=crew))
         await served(world, 40.0)
         ends = []
         for _ in range(7):
@@ -283,8 +294,8 @@
         world.run_s = 30.0
         for n in range(3):
             crew = ("red", "blue", "guest")[n]
-            await world.submit(service(f"wk-{n:06d}", 4, crew=crew))
-            await world.submit(job(f"wk-{n + 10:06d}", 4, crew=crew, guess_s=30.0))
+            await world.submit(service(f"wk-{n:06d}", 4, team=crew))
+            await world.submit(job(f"wk-{n + 10:06d}", 4, team=crew, estimated_run_s=30.0))
         await served(world, 30.0)
         await asyncio.sleep(5.0)
         starts = {leg: at for leg, at in world.judge.started_at.items() if leg < "wk-000010"}
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -22,7 +22,7 @@
 def test_work_of_a_machine_that_died_with_the_leader_starts_soon(seed: int) -> None:
     async def scenario(world: World) -> None:
         world.run_s = 60.0
-        await world.submit(job("wk-000001", 6, guess_s=60.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         legs = await world.running(6)
         old = await world.led()
         lost = world.where(legs[0])
@@ -49,7 +49,7 @@
 
     async def scenario(world: World) -> None:
         world.run_s = 30.0
-        await world.submit(job("wk-000001", 6, guess_s=30.0))
+        await world.submit(job("wk-000001", 6, estimated_run_s=30.0))
         await world.running(6)
         old = await world.led()
 
