--- a/petrelthread/admin/controller_parts.py
+++ b/petrelthread/admin/controller_parts.py
@@ -10,7 +10,7 @@
 from petrelthread.leadership import Election
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.peers import PeerMonitor
-from petrelthread.provisioning.provisioner import Provisioner
+from petrelthread.provisioning import Provisioner
 from petrelthread.scheduling.cluster_view import ClusterView
 from petrelthread.scheduling.scheduler import Scheduler
 from petrelthread.settings import Settings
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -152,7 +152,7 @@
     refused = [
         f"{names.machine_types.name(machine_type)} {'spot' if spot else 'ordinary'}"
         f" in {names.zones.name(zone)}"
-        for machine_type, zone, spot, _ in parts.provisioner.offer_backoff.active(now)
+        for machine_type, zone, spot in parts.provisioner.offer_backoff.active(now)
     ]
     partitioned = partitioned_machine_count(parts)
     late = parts.provisioner.late_boot_count(now)
--- a/petrelthread/admin/setting_definitions.py
+++ b/petrelthread/admin/setting_definitions.py
@@ -22,7 +22,7 @@
         _RENTAL.spot_drain_s, 5, 3600, "rent spot until backlog drains in this"
     ),
     "dear_drain_s": SettingDefinition(
-        _RENTAL.dear_drain_s, 5, 3600, "rent ordinary until it drains in this"
+        _RENTAL.on_demand_drain_s, 5, 3600, "rent ordinary until it drains in this"
     ),
     "patient_drain_s": SettingDefinition(
         _RENTAL.patient_drain_s, 5, 36000, "rent ordinary for work without goals until it drains"
@@ -37,13 +37,13 @@
         _RENTAL.keep_share, 0.05, 1, "keep ordinary machines until this share"
     ),
     "dear_fill": SettingDefinition(
-        _RENTAL.dear_fill, 0, 1, "share of an ordinary machine that must be needed"
+        _RENTAL.on_demand_fill, 0, 1, "share of an ordinary machine that must be needed"
     ),
     "idle_s": SettingDefinition(
-        _RENTAL.idle_s, 0, 3600, "return idle surplus spot machines after this"
+        _RENTAL.spot_idle_s, 0, 3600, "return idle surplus spot machines after this"
     ),
     "dear_idle_s": SettingDefinition(
-        _RENTAL.dear_idle_s, 0, 3600, "return idle ordinary machines after this"
+        _RENTAL.on_demand_idle_s, 0, 3600, "return idle ordinary machines after this"
     ),
     "reserve_share": SettingDefinition(
         _RENTAL.reserve_share, 0, 5, "share of late urgent demand kept ready"
@@ -87,4 +87,16 @@
 
 
 def provisioning_options(values: dict[str, float]) -> ProvisioningOptions:
-    return ProvisioningOptions(**{name: values[name] for name in ProvisioningOptions._fields})
+    """The provisioner's options from the settings, whose names are older."""
+    return ProvisioningOptions(
+        spot_drain_s=values["spot_drain_s"],
+        on_demand_drain_s=values["dear_drain_s"],
+        patient_drain_s=values["patient_drain_s"],
+        due_share=values["due_share"],
+        due_least_s=values["due_least_s"],
+        keep_share=values["keep_share"],
+        on_demand_fill=values["dear_fill"],
+        spot_idle_s=values["idle_s"],
+        on_demand_idle_s=values["dear_idle_s"],
+        reserve_share=values["reserve_share"],
+    )
--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -66,10 +66,10 @@
         assert status == 200
         assert (await put("idle_s", 8, 0))[0] == 409
         await asyncio.sleep(1.0)
-        assert [n.provisioning_options.idle_s for n in world.nodes.values()] == [7.0, 7.0, 7.0]
+        assert [n.provisioning_options.spot_idle_s for n in world.nodes.values()] == [7.0, 7.0, 7.0]
         assert (await put("idle_s", None, got["version"]))[0] == 200
         await asyncio.sleep(1.0)
-        assert world.nodes["n2"].provisioning_options.idle_s != 7.0
+        assert world.nodes["n2"].provisioning_options.spot_idle_s != 7.0
 
     play(scenario())
 
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -11,6 +11,7 @@
 from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.admin.explain import explain_waiting, serving_replicas
 from petrelthread.fleet import Health
+from petrelthread.provisioning import ScaleOutOperation
 from petrelthread.state import Job, OperationState
 
 JsonObject = dict[str, Any]
@@ -105,10 +106,10 @@
         if operation.state is not OperationState.UNKNOWN:
             continue
         awaited = "the cloud's answer to the same request, or a list taken well after"
-        if operation.key.startswith("c/") and not parts.cluster_state.open_jobs:
+        if isinstance(operation, ScaleOutOperation) and not parts.cluster_state.open_jobs:
             awaited = "a list taken well after, since it is no longer wanted"
         age_s = round(now - operation.unknown_at, 1)
-        found.append({"operation": operation.key, "age_s": age_s, "awaits": awaited})
+        found.append({"operation": operation.store_key, "age_s": age_s, "awaits": awaited})
     return found
 
 
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -28,8 +28,12 @@
 from petrelthread.leadership import ACTIVE_ROLES, ClaimWriter, Election, Role
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
-from petrelthread.provisioning import CloudClient, ProvisioningOptions
-from petrelthread.provisioning.provisioner import Provisioner
+from petrelthread.provisioning import (
+    CloudClient,
+    Provisioner,
+    ProvisioningContext,
+    ProvisioningOptions,
+)
 from petrelthread.scheduling.cluster_view import ClusterView, RunTimeEstimates
 from petrelthread.scheduling.scheduler import Scheduler
 from petrelthread.settings import Settings
@@ -173,16 +177,19 @@
     def _build_provisioning(self, request: Request) -> None:
         cloud_rate = self.settings.cluster.cloud.rps * CLOUD_SHARE
         bucket = TokenBucket(cloud_rate, CLOUD_BURST_S * cloud_rate)
-        self.provisioner = Provisioner(
+        context = ProvisioningContext(
             self.settings,
             self.cluster_state,
             self.fleet,
             self.claims,
             CloudClient(request, self.settings.endpoints.cloud, bucket),
+            self.election,
+        )
+        self.provisioner = Provisioner(
+            context,
             self.scheduler,
             self.view,
             lambda: self._state_changes.provisioning_options,
-            lambda: self.election.is_leader,
             self.zone_monitor.cut_off_since,
         )
         self._state_changes = StateChangeHandler(
--- a/petrelthread/controller/provisioning_loop.py
+++ b/petrelthread/controller/provisioning_loop.py
@@ -11,7 +11,7 @@
 from petrelthread import protocol
 from petrelthread.leadership import ClaimOutcome, ClaimWriter, Election
 from petrelthread.pause_detector import PauseDetector
-from petrelthread.provisioning.provisioner import Provisioner
+from petrelthread.provisioning import Provisioner
 from petrelthread.state import ClusterState
 from petrelthread.store import KEY_PREFIX
 
--- a/petrelthread/controller/state_changes.py
+++ b/petrelthread/controller/state_changes.py
@@ -11,8 +11,7 @@
 from petrelthread import protocol
 from petrelthread.admin import provisioning_options, with_defaults
 from petrelthread.leadership import ACTIVE_ROLES, Election, Role
-from petrelthread.provisioning import ProvisioningOptions
-from petrelthread.provisioning.provisioner import Provisioner
+from petrelthread.provisioning import Provisioner, ProvisioningOptions
 from petrelthread.scheduling.scheduler import Scheduler
 from petrelthread.state import ClusterState, epoch_of
 
--- a/petrelthread/provisioning/__init__.py
+++ b/petrelthread/provisioning/__init__.py
@@ -1,34 +1,45 @@
-"""How many machines, of which kind, and when they go back."""
+"""Provisioning: how many machines of which kind are needed, and the calls to the cloud."""
 
 from petrelthread.provisioning.cloud import (
     CloudClient,
+    CloudError,
     CloudResultUnknownError,
     CloudUnavailableError,
     NoCapacityError,
 )
+from petrelthread.provisioning.context import ProvisioningContext
+from petrelthread.provisioning.offer_backoff import OfferBackoff
+from petrelthread.provisioning.operations import ScaleInOperation, ScaleOutOperation
 from petrelthread.provisioning.plan import (
     Demand,
     Offer,
-    OfferBackoff,
+    OfferKey,
     OwnedMachine,
     Plan,
     ProvisioningOptions,
     ScaleOutRequest,
-    interleave,
-    make_plan,
 )
+from petrelthread.provisioning.planner import make_plan
+from petrelthread.provisioning.provisioner import Provisioner
+from petrelthread.provisioning.scale_out import interleave
 
 __all__ = [
     "CloudClient",
+    "CloudError",
     "CloudResultUnknownError",
     "CloudUnavailableError",
     "Demand",
     "NoCapacityError",
     "Offer",
     "OfferBackoff",
+    "OfferKey",
     "OwnedMachine",
     "Plan",
+    "Provisioner",
+    "ProvisioningContext",
     "ProvisioningOptions",
+    "ScaleInOperation",
+    "ScaleOutOperation",
     "ScaleOutRequest",
     "interleave",
     "make_plan",
--- a/petrelthread/provisioning/cloud.py
+++ b/petrelthread/provisioning/cloud.py
@@ -1,8 +1,9 @@
-"""Calls to the cloud. A refusal, a lost reply and a garbled one are three different things."""
+"""Client of the cloud. Refused, unanswered and unreadable calls raise different errors."""
 
 from __future__ import annotations
 
-from typing import Any, TypeVar
+from http import HTTPStatus
+from typing import TypeVar
 from urllib.parse import quote
 
 import msgspec
@@ -13,65 +14,52 @@
 
 T = TypeVar("T")
 
+CALL_TIMEOUT_S = 4.0
+NO_CAPACITY_TEXT = b"no capacity"  # tells a refusal for lack of machines from other refusals
+REFUSED_STATUSES = (
+    HTTPStatus.TOO_MANY_REQUESTS,
+    HTTPStatus.SERVICE_UNAVAILABLE,
+    HTTPStatus.BAD_REQUEST,
+)
 
-class CloudUnavailableError(Exception):
-    """Surely not carried out."""
 
+class CloudError(Exception):
+    """A call to the cloud has no result."""
 
-class CloudResultUnknownError(Exception):
-    """May have been carried out, or may still be."""
 
+class CloudUnavailableError(CloudError):
+    """The call was certainly not carried out."""
 
-class NoCapacityError(Exception):
-    """None available for this type, zone and kind."""
+
+class CloudResultUnknownError(CloudError):
+    """The call may have been carried out, or may still be."""
+
+
+class NoCapacityError(CloudError):
+    """The cloud has no machine of this type, zone and kind. Nothing was scaled out."""
 
 
 class CloudClient:
+    """Typed calls to the cloud, within a budget of calls.
+
+    Every call raises ``CloudUnavailableError`` or ``CloudResultUnknownError`` if it fails.
+    """
+
     def __init__(self, request: Request, addr: str, budget: TokenBucket) -> None:
         self._request = request
         self._addr = addr
-        self._bucket = budget
+        self._budget = budget
 
     async def acquire_call(self) -> None:
-        """Wait until a call may be made, and count it."""
-        await self._bucket.acquire()
+        """Wait until the budget allows a call, and charge it."""
+        await self._budget.acquire()
 
     def refund_call(self) -> None:
-        """The turn was not taken after all."""
-        self._bucket.refund()
-
-    async def _call(
-        self,
-        method: str,
-        target: str,
-        body: Any = None,
-        timeout: float = 4.0,
-        call_acquired: bool = False,
-    ) -> ClientResponse:
-        if not call_acquired:
-            await self.acquire_call()
-        try:
-            reply = await self._request(self._addr, method, target, body, timeout=timeout)
-        except NoResponseError as error:
-            if error.request_sent:
-                raise CloudResultUnknownError(str(error)) from None
-            raise CloudUnavailableError(str(error)) from None
-        if reply.status == 503 and b"no capacity" in reply.body:
-            raise NoCapacityError
-        if reply.status in (429, 503, 400):
-            raise CloudUnavailableError(f"status {reply.status}: {reply.body[:100]!r}")
-        if reply.status != 200:
-            raise CloudResultUnknownError(f"status {reply.status}")
-        return reply
-
-    @staticmethod
-    def _decode(body: bytes, kind: type[T]) -> T:
-        try:
-            return msgspec.json.decode(body, type=kind)
-        except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise CloudResultUnknownError(f"garbled answer: {error}") from None
+        """Return a charged call that was not made."""
+        self._budget.refund()
 
     async def catalog(self) -> protocol.Catalog:
+        """All machine types with their zones and prices."""
         reply = await self._call("GET", protocol.CATALOG_PATH)
         return self._decode(reply.body, protocol.Catalog)
 
@@ -84,16 +72,35 @@
         count: int,
         call_acquired: bool = False,
     ) -> tuple[str, ...]:
-        """``paid``: its turn has been waited for already."""
+        """Scale out up to ``count`` machines, and return the names of those that the cloud gave.
+
+        A repeated request with the same idempotency key returns the same machines.
+
+        Args:
+            idempotency_key: Identifies the request.
+            machine_type: Name in the catalogue.
+            zone: Where the machines should be.
+            spot: Spot machines, or else on-demand ones.
+            count: How many.
+            call_acquired: The call has been charged to the budget already.
+
+        Raises:
+            NoCapacityError: The cloud has no such machine at present.
+        """
         body = protocol.scale_out_request(idempotency_key, machine_type, zone, spot, count)
         reply = await self._call("POST", protocol.MACHINES_PATH, body, call_acquired=call_acquired)
         return self._decode(reply.body, protocol.ScaleOutResponse).machine_names
 
     async def scale_in(self, names: list[str]) -> None:
+        """Scale in machines by name. Idempotent."""
         await self._call("POST", protocol.SCALE_IN_PATH, protocol.scale_in_request(names))
 
     async def list_machines(self) -> list[protocol.ListedMachine]:
-        """All machines, page by page. CloudUnsure if the pages do not add up to a whole list."""
+        """All machines, read page by page.
+
+        Raises:
+            CloudResultUnknownError: The pages do not make up a whole list.
+        """
         found: list[protocol.ListedMachine] = []
         after = ""
         while True:
@@ -107,8 +114,34 @@
                 return found
             last = page.machines[-1].name if page.machines else ""
             if last <= after:
-                # Taken for a whole list, what it lacks would count as gone; read on, it never ends.
+                # An incomplete list must not count as whole: missing machines would seem gone.
                 raise CloudResultUnknownError(
                     f"page after {after!r} goes no further, though more is to come"
                 )
             after = last
+
+    async def _call(
+        self, method: str, target: str, body: object = None, call_acquired: bool = False
+    ) -> ClientResponse:
+        if not call_acquired:
+            await self.acquire_call()
+        try:
+            reply = await self._request(self._addr, method, target, body, timeout=CALL_TIMEOUT_S)
+        except NoResponseError as error:
+            if error.request_sent:
+                raise CloudResultUnknownError(str(error)) from error
+            raise CloudUnavailableError(str(error)) from error
+        if reply.status == HTTPStatus.SERVICE_UNAVAILABLE and NO_CAPACITY_TEXT in reply.body:
+            raise NoCapacityError
+        if reply.status in REFUSED_STATUSES:
+            raise CloudUnavailableError(f"status {reply.status}: {reply.body[:100]!r}")
+        if reply.status != HTTPStatus.OK:
+            raise CloudResultUnknownError(f"status {reply.status}")
+        return reply
+
+    @staticmethod
+    def _decode(body: bytes, kind: type[T]) -> T:
+        try:
+            return msgspec.json.decode(body, type=kind)
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise CloudResultUnknownError(f"garbled answer: {error}") from error
--- /dev/null
+++ b/petrelthread/provisioning/list_reconciliation.py
@@ -0,0 +1,81 @@
+"""Reconciliation of the fleet with the cloud's list of machines."""
+
+from __future__ import annotations
+
+import logging
+
+from petrelthread import protocol
+from petrelthread.fleet import Health, Machine
+from petrelthread.provisioning.cloud import CloudError
+from petrelthread.provisioning.context import ProvisioningContext
+
+log = logging.getLogger(__name__)
+
+LIST_INTERVAL_S = 10.0
+
+
+class ListReconciler:
+    """Reads the list from time to time, and notes which machines are new, have failed or are gone.
+
+    Instants are those of the event loop's clock at which a list was requested.
+    """
+
+    def __init__(self, context: ProvisioningContext) -> None:
+        self._cloud = context.cloud
+        self._fleet = context.fleet
+        self._names = context.cluster_state.names
+        self._last_read_at = float("-inf")
+        self.last_success_at = float("-inf")
+
+    def fail_over(self) -> None:
+        """Make the next list due at once."""
+        self._last_read_at = float("-inf")
+
+    @property
+    def never_read(self) -> bool:
+        """No list has been requested since this controller became the leader."""
+        return self._last_read_at == float("-inf")
+
+    def is_due(self, now: float) -> bool:
+        """Whether the next list should be requested."""
+        return now - self._last_read_at >= LIST_INTERVAL_S
+
+    async def reconcile(self, now: float) -> None:
+        """Read the list and apply it to the fleet. Without an answer nothing changes."""
+        self._last_read_at = now
+        try:
+            listed = await self._cloud.list_machines()
+        except CloudError as error:
+            log.info("cloud: no list: %s", error)
+            return
+        self.last_success_at = now
+        for entry in listed:
+            self._apply(entry, now)
+        listed_names = {entry.name for entry in listed}
+        for machine in self._fleet.machines.values():
+            self._check_presence(machine, listed_names)
+
+    def _apply(self, entry: protocol.ListedMachine, now: float) -> None:
+        unrecorded = self._fleet.find(entry.name) is None
+        machine = self._fleet.get_or_add(entry.name, now)
+        if unrecorded:
+            log.info("machine %s is listed without a record", entry.name)
+            machine.rented_at = now - entry.age_s
+        machine.listed = True
+        machine.address = machine.address or entry.address
+        machine.machine_type = self._names.machine_types.index(entry.machine_type)
+        machine.zone = self._names.zones.index(entry.zone)
+        machine.spot = entry.spot
+        if entry.status == protocol.MACHINE_FAILED and not machine.quarantine_reason:
+            machine.quarantine_reason = "listed as failed"
+            log.info("machine %s has failed", machine.name)
+
+    @staticmethod
+    def _check_presence(machine: Machine, listed_names: set[str]) -> None:
+        missing = machine.listed and machine.name not in listed_names
+        machine.missing_from_lists = machine.missing_from_lists + 1 if missing else 0
+        # One list without the machine is no proof: lists may be older than the one before.
+        gone = machine.missing_from_lists > 1 and not machine.quarantine_reason
+        if gone and machine.health not in (Health.TERMINATED, Health.TERMINATING, Health.UP):
+            machine.quarantine_reason = "no longer listed"
+            log.info("machine %s is gone from the list", machine.name)
--- /dev/null
+++ b/petrelthread/provisioning/operations.py
@@ -0,0 +1,152 @@
+"""Recorded scale-out and scale-in operations whose outcome may have to be settled."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Collection
+from typing import ClassVar
+
+from petrelthread.fleet import Fleet, Health
+from petrelthread.provisioning.context import RecordCleanup
+from petrelthread.state import ClusterState, OperationState, transition
+from petrelthread.state.stored_records import ScaleOutRecord
+
+RETRY_INTERVAL_S = 1.5  # until an operation with unknown outcome is sent again
+
+
+class CloudOperation:
+    """One call to the cloud that is recorded in the state service before it is sent.
+
+    Instants are those of the event loop's clock.
+    """
+
+    __slots__ = ("idempotency_key", "in_flight", "retry_at", "state", "unknown_at")
+
+    STORE_KEY_PREFIX: ClassVar[str]
+
+    def __init__(self, idempotency_key: str, state: OperationState) -> None:
+        self.idempotency_key = idempotency_key
+        self.state = state
+        self.unknown_at = 0.0  # since when the outcome is unknown
+        self.retry_at = 0.0
+        self.in_flight = False
+
+    @property
+    def store_key(self) -> str:
+        """Key of the operation's record in the state service, without the common prefix."""
+        return self.STORE_KEY_PREFIX + self.idempotency_key
+
+
+class ScaleOutOperation(CloudOperation):
+    """A request for new machines. Confirmed ones stay as long as their machines."""
+
+    __slots__ = ("record",)
+
+    STORE_KEY_PREFIX = "c/"
+
+    def __init__(self, idempotency_key: str, record: ScaleOutRecord, state: OperationState) -> None:
+        super().__init__(idempotency_key, state)
+        self.record = record
+
+
+class ScaleInOperation(CloudOperation):
+    """A request to take machines back."""
+
+    __slots__ = ("machine_names",)
+
+    STORE_KEY_PREFIX = "x/"
+
+    def __init__(
+        self, idempotency_key: str, machine_names: list[str], state: OperationState
+    ) -> None:
+        super().__init__(idempotency_key, state)
+        self.machine_names = machine_names
+
+
+class OperationRegistry:
+    """The operations of this leader and of its predecessors, in step with their records."""
+
+    def __init__(self, cluster_state: ClusterState, fleet: Fleet, cleanup: RecordCleanup) -> None:
+        self._cluster_state = cluster_state
+        self._fleet = fleet
+        self._cleanup = cleanup
+        self._serial = 0
+        self.by_store_key: dict[str, ScaleOutOperation | ScaleInOperation] = {}
+
+    def next_idempotency_key(self) -> str:
+        """A key that no operation has had: the leader's epoch and a serial number."""
+        self._serial += 1
+        return f"{self._fleet.epoch}-{self._serial}"
+
+    def fail_over(self, now: float) -> None:
+        """Take over the recorded operations of earlier leaders."""
+        self.by_store_key.clear()
+        self._serial = 0
+        for idempotency_key, record in self._cluster_state.scale_out_records.items():
+            scale_out = ScaleOutOperation(idempotency_key, record, OperationState.UNKNOWN)
+            scale_out.unknown_at = now
+            self.by_store_key[scale_out.store_key] = scale_out
+            if record.machine_names is not None:
+                transition(scale_out, OperationState.CONFIRMED)
+                self.register_machines(scale_out, record.machine_names, now)
+        for idempotency_key, names in self._cluster_state.scale_in_records.items():
+            scale_in = ScaleInOperation(idempotency_key, names, OperationState.UNKNOWN)
+            scale_in.unknown_at = now
+            self.by_store_key[scale_in.store_key] = scale_in
+            for name in names:
+                machine = self._fleet.get_or_add(name, now)
+                if machine.health is not Health.TERMINATED:
+                    machine.transition(Health.TERMINATING)
+
+    def add_scale_out(self, operation: ScaleOutOperation) -> None:
+        """Register an operation whose record has been written."""
+        self.by_store_key[operation.store_key] = operation
+        self._cluster_state.scale_out_records[operation.idempotency_key] = operation.record
+
+    def add_scale_in(self, operation: ScaleInOperation) -> None:
+        """Register an operation whose record has been written."""
+        self.by_store_key[operation.store_key] = operation
+        names = operation.machine_names
+        self._cluster_state.scale_in_records[operation.idempotency_key] = names
+
+    def update_record(self, operation: ScaleOutOperation, record: ScaleOutRecord) -> None:
+        """Replace an operation's record here; the caller writes it to the state service."""
+        operation.record = record
+        self._cluster_state.scale_out_records[operation.idempotency_key] = record
+
+    def remove(self, operation: ScaleOutOperation | ScaleInOperation) -> None:
+        """Forget an operation; the caller deletes its record from the state service."""
+        self.by_store_key.pop(operation.store_key, None)
+        if isinstance(operation, ScaleOutOperation):
+            self._cluster_state.scale_out_records.pop(operation.idempotency_key, None)
+        else:
+            self._cluster_state.scale_in_records.pop(operation.idempotency_key, None)
+
+    def discard(self, operation: ScaleOutOperation) -> None:
+        """Forget a scale-out without effect, and have its record deleted with the next clean-up."""
+        self.remove(operation)
+        self._cleanup.obsolete_keys.append(operation.store_key)
+
+    def confirmed_scale_outs(self) -> list[ScaleOutOperation]:
+        """Scale-outs whose machines are known."""
+        return [
+            operation
+            for operation in self.by_store_key.values()
+            if isinstance(operation, ScaleOutOperation)
+            and operation.state is OperationState.CONFIRMED
+        ]
+
+    def register_machines(
+        self, operation: ScaleOutOperation, names: Collection[str], now: float
+    ) -> None:
+        """Add the machines that a scale-out gave to the fleet."""
+        record = operation.record
+        interned = self._cluster_state.names
+        for name in names:
+            machine = self._fleet.get_or_add(name, now)
+            if not machine.scale_out_key:
+                machine.scale_out_key = operation.store_key
+                machine.machine_type = interned.machine_types.index(record.machine_type)
+                machine.zone = interned.zones.index(record.zone)
+                machine.spot = record.spot
+                machine.rented_at = now - max(0.0, time.time() - record.requested_at)
--- /dev/null
+++ b/petrelthread/provisioning/planning_input.py
@@ -0,0 +1,109 @@
+"""Owned machines and available offers as the planner sees them."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterator
+
+from petrelthread import protocol
+from petrelthread.fleet import Health, Machine
+from petrelthread.provisioning.boot_monitor import BootMonitor
+from petrelthread.provisioning.context import ProvisioningContext
+from petrelthread.provisioning.offer_backoff import OfferBackoff
+from petrelthread.provisioning.plan import Offer, OfferKey, OwnedMachine
+
+
+class PlanningInput:
+    """Converts the present fleet and catalogue into the planner's input."""
+
+    def __init__(
+        self,
+        context: ProvisioningContext,
+        machine_types: dict[int, protocol.MachineType],
+        offer_backoff: OfferBackoff,
+        boots: BootMonitor,
+        zones_down: Collection[int],
+    ) -> None:
+        self._fleet = context.fleet
+        self._names = context.cluster_state.names
+        self._machine_types = machine_types
+        self._offer_backoff = offer_backoff
+        self._boots = boots
+        self._zones_down = zones_down
+
+    def owned_machines(self, now: float) -> list[OwnedMachine]:
+        """Machines that are or will soon be capacity."""
+        owned = []
+        for machine in self._fleet.machines.values():
+            machine_type = self._machine_types.get(machine.machine_type)
+            if machine_type is not None and self._is_capacity(machine, now):
+                owned.append(self._owned(machine, machine_type, now))
+        return owned
+
+    def offers(self, now: float) -> list[Offer]:
+        """Offers in reachable zones that have no active back-off."""
+        return [
+            self._offer(key, machine_type, price)
+            for key, machine_type, price in self._catalog_offers()
+            if price > 0 and self._offer_backoff.is_available(key, now)
+        ]
+
+    def _is_capacity(self, machine: Machine, now: float) -> bool:
+        if machine.quarantine_reason or machine.health not in (Health.UP, Health.BOOTING):
+            return False
+        if self._boots.is_late(machine, now):
+            return False
+        return machine.health is Health.UP or machine.zone not in self._zones_down
+
+    def _owned(
+        self, machine: Machine, machine_type: protocol.MachineType, now: float
+    ) -> OwnedMachine:
+        attempts = self._fleet.attempts_on(machine)
+        occupied_cores = 0.0
+        replicas = 0
+        for attempt in attempts.values():
+            if attempt.has_exited:
+                continue
+            if attempt.job.is_service:
+                replicas += 1
+            elif attempt.job.pending_count == 0:
+                occupied_cores += attempt.job.cores
+        idle = machine.health is Health.UP and not attempts
+        return OwnedMachine(
+            machine.index,
+            machine.machine_type,
+            machine.zone,
+            machine.spot,
+            machine_type.cores,
+            machine_type.accelerators,
+            machine_type.ram_gb,
+            machine_type.spot_price if machine.spot else machine_type.on_demand_price,
+            now - machine.idle_since if idle else None,
+            len(attempts),
+            occupied_cores,
+            replicas,
+        )
+
+    def _catalog_offers(self) -> Iterator[tuple[OfferKey, protocol.MachineType, float]]:
+        """Key, machine type and hourly price of each offer in reachable zones."""
+        for index, machine_type in self._machine_types.items():
+            for zone_name in machine_type.zones:
+                zone = self._names.zones.index(zone_name)
+                # Machines in a zone that is cut off would cost money without being reachable.
+                if zone not in self._zones_down:
+                    yield OfferKey(index, zone, True), machine_type, machine_type.spot_price
+                    yield OfferKey(index, zone, False), machine_type, machine_type.on_demand_price
+
+    def _offer(self, key: OfferKey, machine_type: protocol.MachineType, price: float) -> Offer:
+        return Offer(
+            key.machine_type,
+            key.zone,
+            key.spot,
+            machine_type.cores,
+            machine_type.accelerators,
+            machine_type.ram_gb,
+            price,
+            machine_type.boot_s,
+            last_filled=self._offer_backoff.last_filled(key),
+            # Only the first scale-out asks untried offers together; later ones await answers.
+            tried=bool(self._fleet.machines) or self._offer_backoff.was_tried(key),
+        )
--- a/petrelthread/provisioning/reserve.py
+++ b/petrelthread/provisioning/reserve.py
@@ -1,57 +1,69 @@
-"""How much room to keep for work that has not come yet. Pure arithmetic on what came lately."""
+"""Cores to keep for work that has not arrived yet, estimated from recent arrivals."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-WINDOW_S = 90.0  # arrivals of so long ago say what to expect
-LEAST_SPAN_S = 30.0  # one job alone does not yet say how often they come
-SLOW_BOOT_S = 10.0  # that a machine may take beyond the usual boot time
-LIKELY_NEXT = 2.0  # services as large as the largest of late that may come while a machine boots
-MOVABLE_ZONES = 3  # of as many, one may be lost and its replicas go to the others
+WINDOW_S = 90.0  # only arrivals within this time count
+MIN_SPAN_S = 30.0  # a single arrival is not taken for a higher rate than one in this time
+SLOW_BOOT_S = 10.0  # that a machine may take beyond its usual boot time
+NEXT_TO_LARGEST = 2.0  # services as large as the largest recent one that may arrive during a boot
+MIN_ZONES_TO_MOVE = 3  # with fewer zones, replicas of a lost zone cannot move to the others
 
 
 class Arrivals:
-    """Cores asked for by the jobs of some kind that arrived lately."""
+    """Cores that recently accepted jobs of some kind ask for."""
 
-    def __init__(self, seen: Iterable[tuple[float, float]] = (), ramps: bool = False) -> None:
-        """``seen``: the instant and the cores of each job. ``ramps``: they begin at some moment and
-        go on from there; over the whole window, their rate is underestimated at first."""
-        self._seen = list(seen)
-        self._ramps = ramps
+    def __init__(self, arrivals: Iterable[tuple[float, float]] = (), ramping: bool = False) -> None:
+        """Start from earlier arrivals.
 
-    def note(self, now: float, cores: float) -> None:
-        self._seen.append((now, cores))
+        Args:
+            arrivals: Instant and cores of each job.
+            ramping: Arrivals begin at some moment and go on from there, so their rate is taken over
+                the time since the first one instead of the whole window.
+        """
+        self._arrivals = list(arrivals)
+        self._ramping = ramping
+
+    def record(self, now: float, cores: float) -> None:
+        """Count an arrival."""
+        self._arrivals.append((now, cores))
 
     def expected_cores(self, now: float, boot_s: float) -> float:
-        """Likely to be asked for while a machine boots, if arrivals go on as they did."""
+        """Cores likely to be asked for while a machine boots, at the present rate."""
         return self._cores_per_s(now) * (boot_s + SLOW_BOOT_S)
 
+    def largest_cores(self, now: float) -> float:
+        """Cores of the largest recent job; 0 without any."""
+        self._expire(now)
+        return max((cores for _, cores in self._arrivals), default=0.0)
+
     def _cores_per_s(self, now: float) -> float:
-        self._forget(now)
-        return sum(cores for _, cores in self._seen) / self._span_s(now)
+        self._expire(now)
+        return sum(cores for _, cores in self._arrivals) / self._span_s(now)
 
     def _span_s(self, now: float) -> float:
-        """Over how long the arrivals are spread; shorter while they have only begun."""
-        first_at = min((at for at, _ in self._seen), default=now)
-        return min(WINDOW_S, max(LEAST_SPAN_S, now - first_at)) if self._ramps else WINDOW_S
+        """The time over which the rate is taken."""
+        if not self._ramping:
+            return WINDOW_S
+        first_at = min((at for at, _ in self._arrivals), default=now)
+        return min(WINDOW_S, max(MIN_SPAN_S, now - first_at))
 
-    def largest(self, now: float) -> float:
-        self._forget(now)
-        return max((cores for _, cores in self._seen), default=0.0)
+    def _expire(self, now: float) -> None:
+        self._arrivals = [(at, cores) for at, cores in self._arrivals if now - at < WINDOW_S]
 
-    def _forget(self, now: float) -> None:
-        self._seen = [(at, cores) for at, cores in self._seen if now - at < WINDOW_S]
 
+def zone_loss_reserve(spread_cores: float, zones: int) -> float:
+    """Cores that the other zones need if one of ``zones`` is lost.
 
-def lost_with_a_zone(spread_cores: float, zones: int) -> float:
-    """Cores that the other zones need when one of ``zones`` is lost.
+    With two zones left, half of a service's replicas may be in each. With fewer, no reserve is
+    kept: the zone that is left already has all the replicas that it may have.
 
-    ``spread_cores``: of services that are spread over all zones. With two zones left, half of a
-    service may be in each. With fewer there is no room to keep: the zone that is left already has
-    all that it may have.
+    Args:
+        spread_cores: Cores of the services that are spread over all zones.
+        zones: How many zones are up.
     """
-    if zones < MOVABLE_ZONES:
+    if zones < MIN_ZONES_TO_MOVE:
         return 0.0
     return spread_cores / (zones - 1)
 
@@ -59,11 +71,10 @@
 def standing_reserve(
     services: Arrivals, now: float, boot_s: float, spread_cores: float, zones: int
 ) -> float:
-    """Cores to keep for replicas: of services to come, and of those that a lost zone takes along.
+    """Cores to keep for replicas of services that may arrive, and of those in a lost zone.
 
-    Both at once, since services go on coming while machines boot for those that are lost: with
-    the larger of the two alone, replicas waited up to 36 s for a machine when a zone was lost.
+    It is the sum of both, since services go on arriving while machines boot for the lost ones.
     """
-    coming = services.expected_cores(now, boot_s)
-    likely = max(coming, LIKELY_NEXT * services.largest(now))
-    return likely + lost_with_a_zone(spread_cores, zones)
+    arriving = services.expected_cores(now, boot_s)
+    likely = max(arriving, NEXT_TO_LARGEST * services.largest_cores(now))
+    return likely + zone_loss_reserve(spread_cores, zones)
--- /dev/null
+++ b/petrelthread/provisioning/scale_in_selection.py
@@ -0,0 +1,80 @@
+"""Which machines to scale in, besides those that the plan finds surplus."""
+
+from __future__ import annotations
+
+import logging
+
+from petrelthread.fleet import Health, Machine
+from petrelthread.provisioning.boot_monitor import BootMonitor
+from petrelthread.provisioning.context import ProvisioningContext
+from petrelthread.provisioning.plan import Plan
+
+log = logging.getLogger(__name__)
+
+MIN_MASS_OUTAGE = 4  # fewer unresponsive machines than this are never taken for a network fault
+
+
+class ScaleInSelection:
+    """Selects idle surplus machines and those that are failed, lost or drained."""
+
+    def __init__(self, context: ProvisioningContext, boots: BootMonitor) -> None:
+        self._fleet = context.fleet
+        self._cluster_state = context.cluster_state
+        self._boots = boots
+
+    def unresponsive(self) -> list[Machine]:
+        """Unresponsive machines that failed independently.
+
+        If most machines are unresponsive at once, the cause is more likely this controller or the
+        network, and the list is empty: they go once their leases have expired.
+        """
+        machines = self._fleet.machines.values()
+        up = sum(m.health in (Health.UP, Health.DRAINING) for m in machines)
+        unresponsive = [m for m in machines if m.health is Health.UNRESPONSIVE]
+        if len(unresponsive) >= MIN_MASS_OUTAGE and len(unresponsive) > up:
+            return []
+        return unresponsive
+
+    def unresponsive_with_replicas(self) -> list[Machine]:
+        """Those whose replicas can be placed elsewhere as soon as the scale-in is confirmed."""
+        return [m for m in self.unresponsive() if self._fleet.hosts_replicas(m)]
+
+    def select(self, plan: Plan, now: float) -> list[Machine]:
+        """Machines to scale in now, each once."""
+        machines = self._fleet.machines
+        # Some may have got work since the plan was made, while machines were scaled out.
+        selected = {index: machines[index] for index in plan.scale_ins if self._is_idle(index)}
+        unresponsive = {machine.index for machine in self.unresponsive()}
+        for machine in machines.values():
+            reason = self._reason(machine, unresponsive, now)
+            if reason:
+                log.info("scaling in machine %s: %s", machine.name, reason)
+                selected[machine.index] = machine
+        return list(selected.values())
+
+    def _is_idle(self, index: int) -> bool:
+        machine = self._fleet.machines.get(index)
+        return (
+            machine is not None
+            and machine.health is Health.UP
+            and index not in self._cluster_state.attempts_by_machine
+        )
+
+    def _reason(self, machine: Machine, unresponsive: set[int], now: float) -> str:
+        """Why the machine should be scaled in whatever the plan says; empty if it should not."""
+        if machine.health in (Health.TERMINATED, Health.TERMINATING):
+            return ""
+        if machine.quarantine_reason:
+            return machine.quarantine_reason
+        if machine.health is Health.UNRESPONSIVE:
+            is_lost = machine.index in unresponsive or now > self._fleet.lease_expires_at(machine)
+            return "unresponsive" if is_lost else ""
+        if machine.health is Health.DRAINING:
+            empty = machine.index not in self._cluster_state.attempts_by_machine
+            return "drained before preemption" if self._is_preempted(machine) and empty else ""
+        return "did not boot in time" if self._boots.is_lost(machine, now) else ""
+
+    @staticmethod
+    def _is_preempted(machine: Machine) -> bool:
+        """Whether the cloud has announced that it will take the spot machine."""
+        return machine.spot_notice_s is not None
--- a/petrelthread/provisioning/test_cloud.py
+++ b/petrelthread/provisioning/test_cloud.py
@@ -1,4 +1,4 @@
-"""Lists of the cloud: whole, or refused. Half a list makes machines look gone."""
+"""The client of the cloud: whole or refused lists, and the budget of calls."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from petrelthread.http import ClientResponse
 from petrelthread.provisioning import CloudClient, CloudResultUnknownError
 from petrelthread.store import TokenBucket
+from tests.virtual import play
 
 PAGE = 500
 
@@ -29,7 +30,7 @@
 
 
 class PagedCloud:
-    """Serves a list of so many machines, page by page; ``fault`` spoils one page."""
+    """Serves a list of machines page by page; ``fault`` spoils one page."""
 
     def __init__(self, machines: int, fault: str = "") -> None:
         self.machines = [listed(n) for n in range(machines)]
@@ -37,10 +38,10 @@
         self.calls = 0
 
     async def request(
-        self, addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
+        self, addr: str, method: str, target: str, body: object = None, timeout: float = 2.0
     ) -> ClientResponse:
         self.calls += 1
-        assert self.calls < 100, "the list is read for ever"
+        assert self.calls < 100, "the list is read without end"
         after = parse_qs(urlsplit(target).query).get("from", [""])[0]
         if self.calls == 3 and self.fault == "changes":
             self.machines = [m for m in self.machines if m["name_id"] > "host-000700"]
@@ -57,20 +58,27 @@
 
 
 @pytest.mark.parametrize(("machines", "calls"), [(0, 1), (499, 1), (501, 2), (4000, 8), (8000, 16)])
-def test_thousands_of_machines_come_in_pages(machines: int, calls: int) -> None:
+def test_list_of_thousands_is_read_in_pages(machines: int, calls: int) -> None:
     cloud = PagedCloud(machines)
     found = asyncio.run(cloud.client().list_machines())
     assert [entry.name for entry in found] == [m["name_id"] for m in cloud.machines]
     assert cloud.calls == calls
 
 
-def test_a_list_that_changes_while_it_is_read_is_whole() -> None:
+def test_list_that_changes_while_it_is_read_is_whole() -> None:
     cloud = PagedCloud(1600, "changes")
     found = asyncio.run(cloud.client().list_machines())
     assert {m["name_id"] for m in cloud.machines} <= {entry.name for entry in found}
 
 
 @pytest.mark.parametrize("fault", ["empty page", "same page again"])
-def test_half_a_list_is_no_list(fault: str) -> None:
+def test_incomplete_list_is_refused(fault: str) -> None:
     with pytest.raises(CloudResultUnknownError, match="goes no further"):
         asyncio.run(PagedCloud(1600, fault).client().list_machines())
+
+
+def test_available_budget_leaves_reserved_share_of_burst() -> None:
+    budget = TokenBucket(8.0, 8.0)
+    assert budget.available(0.0, 0.5) == 4
+    play(budget.acquire(5.0))
+    assert budget.available(100.0, 0.5) == 0
--- /dev/null
+++ b/petrelthread/provisioning/test_scale_in.py
@@ -0,0 +1,59 @@
+"""Scale-in calls, and which machines they name."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+from petrelthread import protocol
+from petrelthread.fleet import Health
+from petrelthread.provisioning import Plan
+from tests.virtual import play
+from tests.world import World, job
+
+
+def test_more_machines_than_one_call_may_name_are_scaled_in_by_several_calls() -> None:
+    """The cloud refuses a call with more than 100 names."""
+    name_counts: list[int] = []
+
+    async def scenario() -> None:
+        world = World(1)
+        node = world.nodes[await world.led()]
+        handle = world.cloud.handle
+
+        async def cloud(
+            source: str, method: str, target: str, body: dict[str, Any]
+        ) -> tuple[int, Any]:
+            if target == protocol.SCALE_IN_PATH:
+                name_counts.append(len(body["perches"]))
+            return await handle(source, method, target, body)
+
+        world.net.hosts["cloud:1"] = cloud
+        now = asyncio.get_running_loop().time()
+        machines = [node.fleet.get_or_add(f"host-{n:06d}", now) for n in range(330)]
+        await node.provisioner.scale_in.execute_all(machines, now)
+        assert all(m.health is Health.TERMINATED for m in machines)
+        assert max(name_counts) == protocol.MAX_MACHINES_PER_SCALE_IN
+        assert sum(name_counts) == len(machines)
+
+    play(scenario())
+
+
+def test_machine_that_got_work_since_plan_is_not_selected() -> None:
+    """Scale-outs, which take seconds, come between the plan and its scale-ins."""
+
+    async def scenario() -> None:
+        world = World(1)
+        world.run_s = 60.0
+        await world.submit(job("wk-000001", 1, guess_s=60.0))
+        await world.running(1)
+        node = world.nodes[await world.led()]
+        now = asyncio.get_running_loop().time()
+        up = [m for m in node.fleet.machines.values() if m.health is Health.UP]
+        busy = [m for m in up if m.index in node.cluster_state.attempts_by_machine]
+        assert busy
+        plan = Plan([], [m.index for m in up], set())
+        selected = node.provisioner.scale_in_selection.select(plan, now)
+        assert not {m.index for m in busy} & {m.index for m in selected}
+
+    play(scenario())
--- /dev/null
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -0,0 +1,54 @@
+"""Order and number of scale-out calls."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import replace
+from typing import Any
+
+from petrelthread.provisioning import ScaleOutRequest, interleave
+from tests.virtual import play
+from tests.world import SMALL, World, job
+
+
+def test_first_call_to_each_offer_precedes_second_to_any() -> None:
+    requests = [ScaleOutRequest(0, zone, True, count) for zone in range(3) for count in (50, 49)]
+    assert [(r.zone, r.machine_count) for r in interleave(requests)] == [
+        (0, 50),
+        (1, 50),
+        (2, 50),
+        (0, 49),
+        (1, 49),
+        (2, 49),
+    ]
+
+
+def test_further_calls_to_offer_that_came_short_are_skipped() -> None:
+    """They would be refused, and other zones would wait for their calls meanwhile."""
+    answers: list[tuple[str, int]] = []  # zone and number of machines
+
+    async def scenario() -> None:
+        text = SMALL.text.replace("cpus_max = 12.0", "cpus_max = 4000.0")
+        text = text.replace("rps = 10.0\nlist_lag_s", "rps = 1.0\nlist_lag_s")
+        world = World(1, replace(SMALL, text=text, spot=420, ordinary=0))
+        handle = world.cloud.handle
+
+        async def cloud(
+            source: str, method: str, target: str, body: dict[str, Any]
+        ) -> tuple[int, Any]:
+            status, answer = await handle(source, method, target, body)
+            if target == "/hosts" and method == "POST":
+                answers.append((body["roost"], len(answer.get("perches", ()))))
+            return status, answer
+
+        world.net.hosts["cloud:1"] = cloud
+        await world.submit(job("wk-000001", 2000, guess_s=60.0))
+        while world.cloud.rented < 420:
+            await asyncio.sleep(0.1)
+        await asyncio.sleep(6.0)
+
+    play(scenario())
+    # Two zones draw from the same 420 machines: nine calls get some, and hardly one gets none.
+    first_short = next(at for at, (_, count) in enumerate(answers) if count < 50)
+    refused = [zone for zone, count in answers[first_short : first_short + 4] if count == 0]
+    assert len(refused) <= 2, refused
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -101,9 +101,9 @@
         names = node.cluster_state.names
         kind, zone = names.machine_types.index("small"), names.zones.index("b")
         now = asyncio.get_running_loop().time()
-        await node.provisioner._scale_out(ScaleOutRequest(kind, zone, True, 2), now)
+        await node.provisioner.scale_out.execute(ScaleOutRequest(kind, zone, True, 2), now)
         first = next(iter(node.fleet.machines.values()))
-        await node.provisioner._scale_in([first], now)
+        await node.provisioner.scale_in.execute_all([first], now)
         calls = [[e["method"], e["target"], e["body"]] for e in hosts.matching("POST", "/hosts.*")]
         expect("cloud", "sent", "rental and return", calls)
         puts = [[key, value] for key, value in world.store.puts if key[:5] in ("pt/c/", "pt/x/")]
@@ -143,7 +143,7 @@
             expect("admin", "settings", case, facts)
             await asyncio.sleep(1.0)
             if case == "change":
-                assert [n.provisioning_options.idle_s for n in world.nodes.values()] == [
+                assert [n.provisioning_options.spot_idle_s for n in world.nodes.values()] == [
                     7.0,
                     7.0,
                     7.0,
