--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -108,7 +108,7 @@
             size_gb=1.5,
         )
         value = Job.encode(msgspec.convert(spec, protocol.JobSpec), time.time())
-        job = self.state.accept(str(spec["name_id"]), value)
+        job = self.state.add_job(str(spec["name_id"]), value)
         self._stored[job.index] = value
         return job
 
--- a/petrelthread/controller/write_rates.py
+++ b/petrelthread/controller/write_rates.py
@@ -58,11 +58,11 @@
         unresponsive = 0
         if active and self._may_borrow(now):
             unresponsive = self._siblings - len(peers.recent(PEER_TIMEOUT_S))
-        self.quota.base = self._rates.leader if active else self._rates.follower
+        self.quota.base_rate = self._rates.leader if active else self._rates.follower
         # Beyond its share a leader may use half of what unresponsive siblings have: they may be
         # alive. Together with what all leave unused that stays within the limit.
         idle = unresponsive * self._rates.follower / 2
-        self.quota.extra = min(self._rates.unused, idle)
+        self.quota.extra_rate = min(self._rates.unused, idle)
         self._bucket.set_rate(self.quota.rate(now), now)
 
     def sample(self, elapsed_s: float) -> None:
@@ -74,7 +74,7 @@
 
     def requested_rate(self, now: float) -> float:
         """Writes a second to ask siblings for; 0 while our own share suffices."""
-        return self.quota.base if self._bucket.is_low(now) and self._may_borrow(now) else 0.0
+        return self.quota.base_rate if self._bucket.is_low(now) and self._may_borrow(now) else 0.0
 
     def lend(self, heartbeat: PeerHeartbeat, peers: PeerMonitor) -> float:
         """Writes a second lent to a sibling that asks; only an idle controller lends any."""
--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -6,7 +6,7 @@
 from petrelthread.fleet.machine import Machine
 from petrelthread.fleet.registry import Fleet
 from petrelthread.fleet.unacknowledged_starts import StartKey, key_of
-from petrelthread.state import FINISHED, Attempt, Job, epoch_of
+from petrelthread.state import TASK_FINISHED, Attempt, Job, epoch_of
 
 
 class CommandPlanner:
@@ -122,5 +122,5 @@
             return False  # a late direct command would start it again
         if leg.exit_cause == protocol.ExitCause.DONE and not job.is_service:
             # Forgotten only once it is durable.
-            return job.final_status is not None or job.task_states[task] == FINISHED
+            return job.final_status is not None or job.task_states[task] == TASK_FINISHED
         return not ours
--- a/petrelthread/fleet/registry.py
+++ b/petrelthread/fleet/registry.py
@@ -11,8 +11,8 @@
 from petrelthread.fleet.machine import Health, Machine
 from petrelthread.fleet.unacknowledged_starts import StartKey, UnacknowledgedStarts, key_of
 from petrelthread.state import (
-    FINISHED,
-    PENDING,
+    TASK_FINISHED,
+    TASK_PENDING,
     Attempt,
     ClusterState,
     Job,
@@ -358,7 +358,7 @@
                 self.job_failures.on_completed(machine, job, task)
                 self._finish(job, task)
             return False
-        if job.final_status is None and job.task_states[task] == PENDING:
+        if job.final_status is None and job.task_states[task] == TASK_PENDING:
             # It is there, whatever the records say: count it, so that nobody starts it elsewhere.
             log.info("machine %s runs %s/%d unrecorded: kept", machine.name, job.id, task)
             attempt = self.cluster_state.add_attempt(
@@ -370,7 +370,7 @@
         return False
 
     def _finish(self, job: Job, task: int) -> None:
-        if job.final_status is None and job.task_states[task] != FINISHED:
+        if job.final_status is None and job.task_states[task] != TASK_FINISHED:
             # A set: to look each task up in a list took minutes with an array of 25,000.
             tasks = self.finished_tasks.setdefault(job.index, set())
             if task not in tasks:
@@ -436,7 +436,7 @@
     def startable_count(self, job: Job) -> int:
         """How many tasks may be started: pending, and not finished with only the record missing."""
         finished = self.finished_tasks.get(job.index, ())
-        return job.pending_count - sum(job.task_states[task] == PENDING for task in finished)
+        return job.pending_count - sum(job.task_states[task] == TASK_PENDING for task in finished)
 
     def _reconcile_missing(
         self, machine: Machine, report: protocol.WorkerHeartbeat, attempt: Attempt, now: float
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         cluster_state = ClusterState(InternedNames(["red"], ["a"]))
-        cluster_state.accept(
+        cluster_state.add_job(
             "wk-000001", Job.encode(msgspec.convert(job("wk-000001", 9), protocol.JobSpec), 0.0)
         )
         self.fleet = Fleet(cluster_state, 10.0, 1.0, 20.0)
--- a/petrelthread/fleet/test_registry.py
+++ b/petrelthread/fleet/test_registry.py
@@ -25,7 +25,7 @@
 
 def fleet_at(elected_at: float, callbacks: FleetCallbacks = NO_CALLBACKS) -> Fleet:
     cluster_state = ClusterState(InternedNames(["red"], ["a"]))
-    cluster_state.accept(
+    cluster_state.add_job(
         "wk-000001", Job.encode(msgspec.convert(job("wk-000001", 4), protocol.JobSpec), 0.0)
     )
     fleet = Fleet(cluster_state, LEASE_S, REPORT_S, HOLD_OVER_S, callbacks)
@@ -117,7 +117,7 @@
         again.tasks.append(done)
         fleet.on_heartbeat(again, 101.0 + tick, answered=True)
     assert fleet.finished_tasks == {0: {0}}
-    fleet.cluster_state.apply_done(1, [["wk-000001", [0, 0]]])
+    fleet.cluster_state.apply_finished_tasks(1, [["wk-000001", [0, 0]]])
     fleet.finished_tasks.clear()
     again = report(4, EPOCH)
     again.tasks.append(done)
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -38,7 +38,7 @@
         self.uncertain.on_unanswered(self.attempt)
 
     def cancel(self) -> None:
-        self.fleet.cluster_state.finish(self.attempt.job.id, JobStatus.CANCELLED)
+        self.fleet.cluster_state.set_final_status(self.attempt.job.id, JobStatus.CANCELLED)
 
     def holds(self) -> bool:
         return self.uncertain.holds(self.machine.index, key_of(self.attempt))
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -227,7 +227,7 @@
             except (StateUnavailableError, Unsure, LeaseExpiredError) as error:
                 log.debug("cancellation not written: %s", error)
                 return error_response(503, "state service unreachable", OUTAGE_RETRY_S)
-            self._cluster_state.finish(job_id, protocol.JobStatus.CANCELLED)
+            self._cluster_state.set_final_status(job_id, protocol.JobStatus.CANCELLED)
         return json_response(200, protocol.job_response(job_id, job.status))
 
     async def _final_of(self, job: Job) -> Response:
--- a/petrelthread/scheduling/round_claim.py
+++ b/petrelthread/scheduling/round_claim.py
@@ -11,8 +11,8 @@
 from petrelthread.scheduling.start_validator import Start, StartValidator
 from petrelthread.settings import State
 from petrelthread.state import (
-    FINISHED,
     STOP_MARKER,
+    TASK_FINISHED,
     Attempt,
     ClusterState,
     Job,
@@ -102,7 +102,7 @@
                 continue
             # What another leader, or a claim of ours that we had given up, made durable meanwhile
             # counts as done already. Counted twice, it would make the job done too soon.
-            tasks = {task for task in tasks if job.task_states[task] != FINISHED}
+            tasks = {task for task in tasks if job.task_states[task] != TASK_FINISHED}
             if not tasks and job.done_count < job.task_count:
                 del self._fleet.finished_tasks[index]
                 continue
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -25,8 +25,8 @@
 from petrelthread.scheduling.start_validator import Start, StartValidator
 from petrelthread.settings import Settings
 from petrelthread.state import (
-    FINISHED,
     RECORDS_PER_EPOCH,
+    TASK_FINISHED,
     Attempt,
     ClusterState,
     Job,
@@ -308,7 +308,7 @@
         for job in claim.completed:
             self._complete(job)
         if claim.done_number:
-            self._cluster_state.apply_done(claim.done_number, claim.done_record)
+            self._cluster_state.apply_finished_tasks(claim.done_number, claim.done_record)
             self._forget_finished(claim.done_record)
         unsent = self._no_longer_allowed(claim)
         launched: list[Attempt] = []
@@ -343,7 +343,7 @@
         self._fleet.finished_tasks.pop(job.index, None)
         for attempt in list(job.live_attempts.values()):
             self._cluster_state.release(attempt, done=True)
-        self._cluster_state.finish(job.id, protocol.JobStatus.DONE)
+        self._cluster_state.set_final_status(job.id, protocol.JobStatus.DONE)
         log.debug(
             "done %s (%s of %s): %d tasks, %.1f s after it was accepted, %.1f s at best",
             job.id,
@@ -374,7 +374,7 @@
             left = {
                 task
                 for task in tasks
-                if job.final_status is None and job.task_states[task] != FINISHED
+                if job.final_status is None and job.task_states[task] != TASK_FINISHED
             }
             if left:
                 self._fleet.finished_tasks[job.index] = left
--- a/petrelthread/scheduling/start_validator.py
+++ b/petrelthread/scheduling/start_validator.py
@@ -17,7 +17,7 @@
 from petrelthread.fleet import Fleet, Machine
 from petrelthread.scheduling.occupancy import UNKNOWN_ZONE, JobOccupancy, spread_limit
 from petrelthread.settings import Team
-from petrelthread.state import PENDING, ClusterState, Job
+from petrelthread.state import TASK_PENDING, ClusterState, Job
 
 log = logging.getLogger(__name__)
 
@@ -112,7 +112,7 @@
         job, task, machine = start
         if job.final_status is not None:
             return Violation.JOB_OVER
-        if job.task_states[task] != PENDING or task in job.live_attempts:
+        if job.task_states[task] != TASK_PENDING or task in job.live_attempts:
             return Violation.NOT_PENDING
         if task in self._fleet.finished_tasks.get(job.index, ()):
             return Violation.NOT_PENDING
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -91,7 +91,7 @@
 
         def meanwhile() -> None:
             lost.transition(Health.UNRESPONSIVE)
-            cluster.cluster_state.finish("wk-000002", protocol.JobStatus.CANCELLED)
+            cluster.cluster_state.set_final_status("wk-000002", protocol.JobStatus.CANCELLED)
 
         cluster.claims.meanwhile = meanwhile
         await cluster.scheduler.run_round(now())
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -115,7 +115,7 @@
 
     def accept(self, spec: dict[str, Any], waited_s: float = 0.0) -> Job:
         value = Job.encode(msgspec.convert(spec, protocol.JobSpec), time.time() - waited_s)
-        return self.cluster_state.accept(spec["name_id"], value)
+        return self.cluster_state.add_job(spec["name_id"], value)
 
     def zones_of_starts(self, job_id: str) -> list[str]:
         """Where the starts of one round's decision would put the job's tasks."""
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -114,7 +114,7 @@
     def scenario(cluster: Cluster) -> None:
         case = Case(cluster)
         case.live(0, case.machines[A])
-        cluster.cluster_state.mark_done(case.job, 1)
+        cluster.cluster_state.mark_task_finished(case.job, 1)
         cluster.fleet.finished_tasks[case.job.index] = {2}
         assert case.refused((0, A), (1, A), (2, A), (3, A), (3, B)) == [
             (0, Violation.NOT_PENDING),
@@ -124,7 +124,7 @@
         ]
         case.machines[B].transition(Health.UNRESPONSIVE)
         assert case.refused((3, B)) == [(3, Violation.MACHINE)]
-        cluster.cluster_state.finish("wk-000001", "aborted")
+        cluster.cluster_state.set_final_status("wk-000001", "aborted")
         assert case.refused((3, A)) == [(3, Violation.JOB_OVER)]
 
     run(scenario)
--- a/petrelthread/state/__init__.py
+++ b/petrelthread/state/__init__.py
@@ -1,7 +1,7 @@
 """Durable truth: jobs, finished tasks, and one record for every effect sent into the world."""
 
 from petrelthread.state.cluster_state import STOP_MARKER, ClusterState
-from petrelthread.state.job import FINISHED, PENDING, Attempt, InternedNames, Job
+from petrelthread.state.job import TASK_FINISHED, TASK_PENDING, Attempt, InternedNames, Job
 from petrelthread.state.operation_state import IllegalTransitionError, OperationState, transition
 from petrelthread.state.records import (
     RECORDS_PER_EPOCH,
@@ -12,10 +12,10 @@
 )
 
 __all__ = [
-    "FINISHED",
-    "PENDING",
     "RECORDS_PER_EPOCH",
     "STOP_MARKER",
+    "TASK_FINISHED",
+    "TASK_PENDING",
     "Attempt",
     "ClusterState",
     "IllegalTransitionError",
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -20,7 +20,14 @@
 import msgspec
 
 from petrelthread import protocol
-from petrelthread.state.job import FINISHED, LIVE, PENDING, Attempt, InternedNames, Job
+from petrelthread.state.job import (
+    TASK_FINISHED,
+    TASK_LIVE,
+    TASK_PENDING,
+    Attempt,
+    InternedNames,
+    Job,
+)
 from petrelthread.state.operation_state import OperationState, transition
 from petrelthread.state.stored_records import ScaleOutRecord
 from petrelthread.state.usage import UsageTracker
@@ -52,9 +59,9 @@
     def on_key(self, key: str, value: Any, revision: int) -> None:
         kind, _, rest = key.partition("/")
         if kind == "j" and value is not None:
-            self.accept(rest, value)
+            self.add_job(rest, value)
         elif kind == "f" and value is not None:
-            self.finish(rest, value)
+            self.set_final_status(rest, value)
         elif kind == "r":
             if value is None:
                 self.close_round(int(rest))
@@ -64,7 +71,7 @@
             if value is None:
                 self.open_jobs_by_done_record.pop(int(rest), None)
             else:
-                self.apply_done(int(rest), value)
+                self.apply_finished_tasks(int(rest), value)
         elif kind == "s":
             if value is None:
                 self.machines_by_failing_job.pop(rest, None)
@@ -87,7 +94,7 @@
 
     # ---- jobs ------------------------------------------------------------------------------
 
-    def accept(self, job_id: str, value: list[Any]) -> Job:
+    def add_job(self, job_id: str, value: list[Any]) -> Job:
         job = self.jobs_by_id.get(job_id)
         if job is None:
             job = Job(len(self.jobs), job_id, value, self.names)
@@ -96,10 +103,10 @@
             self.open_jobs[job.index] = job
             final = self.early_final_statuses.pop(job_id, None)
             if final is not None:
-                self.finish(job_id, final)
+                self.set_final_status(job_id, final)
         return job
 
-    def finish(self, job_id: str, final_status: str) -> None:
+    def set_final_status(self, job_id: str, final_status: str) -> None:
         job = self.jobs_by_id.get(job_id)
         if job is None:
             self.early_final_statuses[job_id] = final_status  # keys may be read in any order
@@ -115,9 +122,9 @@
                 job.done_count = job.task_count
             job.task_states = bytearray()
 
-    def mark_done(self, job: Job, task: int) -> None:
-        if job.final_status is None and job.task_states[task] != FINISHED:
-            job.task_states[task] = FINISHED
+    def mark_task_finished(self, job: Job, task: int) -> None:
+        if job.final_status is None and job.task_states[task] != TASK_FINISHED:
+            job.task_states[task] = TASK_FINISHED
             job.done_count += 1
         attempt = job.live_attempts.get(task)
         if attempt is not None:
@@ -137,7 +144,7 @@
         attempt = Attempt(number, job, task, machine, session, state)
         job.live_attempts[task] = attempt
         if job.final_status is None:
-            job.task_states[task] = LIVE
+            job.task_states[task] = TASK_LIVE
         there = self.attempts_by_machine.setdefault(machine, {})
         replaced = there.get((job.index, task))
         if replaced is not None and not replaced.has_exited:
@@ -154,8 +161,8 @@
             transition(attempt, OperationState.SUPERSEDED)
         if job.live_attempts.get(task) is attempt:
             del job.live_attempts[task]
-            if job.final_status is None and job.task_states[task] == LIVE:
-                job.task_states[task] = PENDING
+            if job.final_status is None and job.task_states[task] == TASK_LIVE:
+                job.task_states[task] = TASK_PENDING
         there = self.attempts_by_machine.get(attempt.machine)
         if there is not None and there.get((job.index, task)) is attempt:
             del there[job.index, task]
@@ -203,7 +210,7 @@
                 if job is None or job.final_status == protocol.JobStatus.DONE:
                     continue
                 for task in tasks:
-                    if job.final_status is None and job.task_states[task] == FINISHED:
+                    if job.final_status is None and job.task_states[task] == TASK_FINISHED:
                         continue
                     if (job.index, task) in unsent:
                         continue
@@ -233,7 +240,7 @@
         for attempt in list(self.attempts_by_round.pop(number, ())):
             self.release(attempt)
 
-    def apply_done(self, number: int, value: list[Any]) -> None:
+    def apply_finished_tasks(self, number: int, value: list[Any]) -> None:
         if number in self.open_jobs_by_done_record:
             return
         waiting = self.open_jobs_by_done_record[number] = set()
@@ -246,7 +253,7 @@
                 job.done_records.append(number)
             for at in range(0, len(ranges), 2):
                 for task in range(ranges[at], ranges[at + 1] + 1):
-                    self.mark_done(job, task)
+                    self.mark_task_finished(job, task)
 
     def recorded_machines(self) -> set[str]:
         """Those that rentals and returns on record name."""
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -9,7 +9,7 @@
 from petrelthread.interner import Interner
 from petrelthread.state.operation_state import OperationState
 
-PENDING, LIVE, FINISHED = 0, 1, 2  # states of a task
+TASK_PENDING, TASK_LIVE, TASK_FINISHED = 0, 1, 2  # states of a task
 
 
 class InternedNames:
@@ -212,12 +212,12 @@
 
     def pending_tasks(self) -> Iterator[int]:
         """Those that have failed come last: bad tasks must not keep good ones waiting."""
-        at = self.task_states.find(PENDING)
+        at = self.task_states.find(TASK_PENDING)
         while at >= 0:
             if at not in self.failing_tasks:
                 yield at
-            at = self.task_states.find(PENDING, at + 1)
+            at = self.task_states.find(TASK_PENDING, at + 1)
         if self.task_states:  # none once it is over
             yield from sorted(
-                task for task in self.failing_tasks if self.task_states[task] == PENDING
+                task for task in self.failing_tasks if self.task_states[task] == TASK_PENDING
             )
--- a/petrelthread/state/test_state.py
+++ b/petrelthread/state/test_state.py
@@ -35,7 +35,7 @@
 def cluster_state_of(jobs: dict[str, int]) -> ClusterState:
     cluster_state = ClusterState(InternedNames(["red", "blue"], ["a", "b"]))
     for job_id, tasks in jobs.items():
-        cluster_state.accept(job_id, Job.encode(parse_job(orjson.dumps(job(job_id, tasks))), 5.0))
+        cluster_state.add_job(job_id, Job.encode(parse_job(orjson.dumps(job(job_id, tasks))), 5.0))
     return cluster_state
 
 
@@ -71,7 +71,7 @@
             assert record
             assert len(orjson.dumps(record)) <= 900
             number += 1
-            cluster_state.apply_done(number, record)
+            cluster_state.apply_finished_tasks(number, record)
         for job_id, tasks in expected.items():
             found = cluster_state.jobs_by_id[job_id]
             assert {n for n in range(found.task_count) if found.task_states[n] == 2} == tasks
@@ -93,13 +93,13 @@
 
 def test_final_states_never_change() -> None:
     cluster_state = cluster_state_of({"wk-000001": 1})
-    cluster_state.finish("wk-000001", JobStatus.CANCELLED)
-    cluster_state.finish("wk-000001", JobStatus.DONE)
-    cluster_state.mark_done(cluster_state.jobs_by_id["wk-000001"], 0)
+    cluster_state.set_final_status("wk-000001", JobStatus.CANCELLED)
+    cluster_state.set_final_status("wk-000001", JobStatus.DONE)
+    cluster_state.mark_task_finished(cluster_state.jobs_by_id["wk-000001"], 0)
     assert cluster_state.jobs_by_id["wk-000001"].status == JobStatus.CANCELLED
-    cluster_state.finish("wk-000002", JobStatus.DONE)  # keys may be read in any order
+    cluster_state.set_final_status("wk-000002", JobStatus.DONE)  # keys may be read in any order
     late = Job.encode(parse_job(orjson.dumps(job("wk-000002", 3))), 5.0)
-    assert cluster_state.accept("wk-000002", late).status == JobStatus.DONE
+    assert cluster_state.add_job("wk-000002", late).status == JobStatus.DONE
 
 
 def test_operations_take_only_the_steps_there_are() -> None:
--- a/petrelthread/store/test_write_quota.py
+++ b/petrelthread/store/test_write_quota.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from petrelthread.store.write_quota import LOAN_S, MIN_RATE, WriteQuota
+from petrelthread.store.write_quota import LOAN_DURATION_S, MIN_WRITE_RATE, WriteQuota
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -49,7 +49,7 @@
     assert (busy.rate(10.0), idle.rate(10.0)) == (8.0, 2.0)
     assert idle.lend("busy", 9.0, 1.9, 11.0) == pytest.approx(0.2)  # it needs more itself now,
     assert idle.rate(11.0) == 2.0  # but the first answer still counts there
-    assert busy.rate(9.9 + LOAN_S) == 6.0
+    assert busy.rate(9.9 + LOAN_DURATION_S) == 6.0
     assert idle.rate(14.1) == 4.0
 
 
@@ -58,6 +58,6 @@
     node = WriteQuota(8.0)
     assert node.lend("other", 9.0, 0.0, 10.0) == 4.0
     for follower in (4.0, 1.0):
-        node.base = follower
-        assert node.rate(10.5) == MIN_RATE > 0
+        node.base_rate = follower
+        assert node.rate(10.5) == MIN_WRITE_RATE > 0
     assert node.rate(13.2) == 1.0  # the loan is over
--- a/petrelthread/store/watch_cache.py
+++ b/petrelthread/store/watch_cache.py
@@ -21,10 +21,10 @@
 class WatchCache:
     """Values by key (below ROOT). Every change is told once, in order, to the listener."""
 
-    def __init__(self, client: StateClient, listener: Listener, gap_s: float) -> None:
+    def __init__(self, client: StateClient, listener: Listener, poll_interval_s: float) -> None:
         self._client = client
         self._listener = listener
-        self.poll_interval_s = gap_s
+        self.poll_interval_s = poll_interval_s
         self.revisions: dict[str, int] = {}
         self.revision = 0
         self.loaded = asyncio.Event()
--- a/petrelthread/store/write_quota.py
+++ b/petrelthread/store/write_quota.py
@@ -9,10 +9,10 @@
 
 from typing import NamedTuple
 
-LOAN_S = 3.0
-DRIFT = 1.002
+LOAN_DURATION_S = 3.0
+MAX_CLOCK_DRIFT = 1.002
 RETAINED_SHARE = 0.5  # of its share that a controller never lends: its users come in bursts
-MIN_RATE = 0.2  # a second, until loans given under a larger share have ended
+MIN_WRITE_RATE = 0.2  # a second, until loans given under a larger share have ended
 NEED_FACTOR = 2.0  # times its writes of late that it may soon need
 
 
@@ -23,23 +23,25 @@
 
 class WriteQuota:
     def __init__(self, base: float) -> None:
-        self.base = base
-        self.extra = 0.0  # beyond the base, where the limit's margin allows it
+        self.base_rate = base
+        self.extra_rate = 0.0  # beyond the base, where the limit's margin allows it
         self._lent: dict[str, list[Loan]] = {}
         self._borrowed: dict[str, Loan] = {}
 
     def lend(self, to: str, asked: float, used: float, now: float) -> float:
         """The answer to a sibling that asks for more; ``used``: our own writes a second of late."""
-        need = max(RETAINED_SHARE * self.base, NEED_FACTOR * used)
+        need = max(RETAINED_SHARE * self.base_rate, NEED_FACTOR * used)
         others = sum(self._outstanding(name, now) for name in self._lent if name != to)
-        amount = max(0.0, min(asked, self.base - need - others))
+        amount = max(0.0, min(asked, self.base_rate - need - others))
         if amount > 0 or to in self._lent:
-            self._lent.setdefault(to, []).append(Loan(amount, now + LOAN_S * DRIFT))
+            self._lent.setdefault(to, []).append(
+                Loan(amount, now + LOAN_DURATION_S * MAX_CLOCK_DRIFT)
+            )
         return amount
 
     def record_loan(self, lender: str, amount: float, asked_at: float) -> None:
         """A sibling's answer. It counts from when we asked, which was before it lent anything."""
-        self._borrowed[lender] = Loan(amount, asked_at + LOAN_S)
+        self._borrowed[lender] = Loan(amount, asked_at + LOAN_DURATION_S)
 
     def _outstanding(self, to: str, now: float) -> float:
         # Its newest answer may be lost, so that an older, larger loan still counts there.
@@ -51,4 +53,4 @@
         borrowed = sum(loan.amount for loan in self._borrowed.values() if loan.until > now)
         # A leader that has just lost the lead may have lent all that a follower's share is. With a
         # rate of 0 its users' submissions ended in a traceback until the loan was over.
-        return max(MIN_RATE, self.base - lent + borrowed + self.extra)
+        return max(MIN_WRITE_RATE, self.base_rate - lent + borrowed + self.extra_rate)
