--- a/petrelthread/store/__init__.py
+++ b/petrelthread/store/__init__.py
@@ -1,16 +1,16 @@
-"""The state service: a client that keeps to its budgets, and a watch cache of our keys."""
+"""Access to the state service: a rate-limited client, a cache of its keys, and write quotas."""
 
-from petrelthread.store.client import (
+from petrelthread.store.client import Request, StateClient
+from petrelthread.store.errors import (
     LeaseExpiredError,
-    Request,
-    StateClient,
     StateRateLimitedError,
     StateRejectedError,
     StateResultUnknownError,
+    StateServiceError,
     StateUnavailableError,
-    TokenBucket,
     TransactionConflictError,
 )
+from petrelthread.store.token_bucket import TokenBucket
 from petrelthread.store.watch_cache import KEY_PREFIX, WatchCache
 from petrelthread.store.write_quota import WriteQuota
 from petrelthread.store.write_rates import WriteRates
@@ -23,6 +23,7 @@
     "StateRateLimitedError",
     "StateRejectedError",
     "StateResultUnknownError",
+    "StateServiceError",
     "StateUnavailableError",
     "TokenBucket",
     "TransactionConflictError",
--- a/petrelthread/store/client.py
+++ b/petrelthread/store/client.py
@@ -1,9 +1,14 @@
-"""Calls to the state service. A lost answer is told apart from a refusal, always."""
+"""Client of the state service.
+
+Each failed call raises an error that says whether the request may have taken effect; see
+``petrelthread.store.errors``.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
+from http import HTTPStatus
 from typing import Any, TypeVar
 from urllib.parse import quote
 
@@ -11,94 +16,26 @@
 
 from petrelthread import protocol
 from petrelthread.http import ClientResponse, NoResponseError
+from petrelthread.store.errors import (
+    LeaseExpiredError,
+    StateRateLimitedError,
+    StateRejectedError,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TransactionConflictError,
+)
+from petrelthread.store.token_bucket import TokenBucket
 
 Request = Callable[..., Awaitable[ClientResponse]]
-T = TypeVar("T")
-
-
-class StateUnavailableError(Exception):
-    """The request was surely not carried out: 503, 429, or it never left."""
-
-
-class StateRateLimitedError(StateUnavailableError):
-    """Refused for its rate alone: others were a moment earlier. Worth another try at once."""
-
-
-class StateRejectedError(StateUnavailableError):
-    """Never carried out as it stands: malformed, or beyond a limit. Not to be repeated unchanged"""
-
-
-class StateResultUnknownError(Exception):
-    """The request may have been carried out, or may still be."""
-
-
-class TransactionConflictError(Exception):
-    """A condition did not hold; nothing was applied."""
-
-    def __init__(self, failed: tuple[str, ...]) -> None:
-        super().__init__(f"conditions failed: {', '.join(failed)}")
-        self.failed_keys = failed
-
-
-class LeaseExpiredError(Exception):
-    """The lease is over."""
-
-
-LOW_LEVEL_SHARE = 0.3
-FULL_LEVEL_SHARE = 0.8
-
-
-class TokenBucket:
-    """A token bucket. All controllers together must stay below the service's limits."""
-
-    def __init__(self, rate: float, burst: float) -> None:
-        self.rate = rate
-        self.burst = max(burst, 1.0)
-        self._level = self.burst
-        self._at: float | None = None
-        self.total_acquired = 0.0  # in all
-
-    def _refill(self, now: float) -> None:
-        if self._at is not None:
-            self._level = min(self.burst, self._level + (now - self._at) * self.rate)
-        self._at = now
+"""Sends one HTTP request: ``(address, method, target, body, timeout=seconds)``."""
 
-    async def acquire(self, amount: float = 1.0) -> None:
-        """Wait until there is room; large amounts go into debt rather than never pass."""
-        loop = asyncio.get_running_loop()
-        self._refill(loop.time())
-        self._level -= amount
-        self.total_acquired += amount
-        if self._level < 0:
-            await asyncio.sleep(-self._level / self.rate)
-
-    def set_rate(self, rate: float, now: float) -> None:
-        self._refill(now)  # what has come so far came at the old rate
-        self.rate = rate
-
-    def refund(self, amount: float = 1.0) -> None:
-        """Of what was taken, this was not used."""
-        self._level = min(self.burst, self._level + amount)
-
-    def available(self, now: float, reserved_share: float) -> int:
-        """How much may be taken now and still leave a share of the burst for what is urgent."""
-        self._refill(now)
-        return max(0, int(self._level - self.burst * reserved_share))
-
-    def is_low(self, now: float) -> bool:
-        """Little is left: more than this rate is asked for."""
-        self._refill(now)
-        return self._level < self.burst * LOW_LEVEL_SHARE
-
-    def is_full(self, now: float) -> bool:
-        """Next to nothing was asked for lately."""
-        self._refill(now)
-        return self._level > self.burst * FULL_LEVEL_SHARE
+T = TypeVar("T")
 
-    def wait_time_s(self, now: float) -> float:
-        """How long a request made now would have to wait."""
-        self._refill(now)
-        return max(0.0, (1.0 - self._level) / self.rate)
+REQUEST_TIMEOUT_S = 1.0
+LIST_TIMEOUT_S = 3.0
+WATCH_MARGIN_S = 1.0  # beyond the time for which the service may hold a watch open
+PAGE_SIZE = 1000  # keys on one page of a listing
+ERROR_EXCERPT_BYTES = 200  # of a refusal's body, kept in the error's message
 
 
 def _decode(body: bytes, kind: type[T]) -> T:
@@ -106,34 +43,62 @@
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         # A garbled answer proves nothing about what was done.
-        raise StateResultUnknownError(f"garbled answer: {error}") from None
+        raise StateResultUnknownError(f"garbled answer: {error}") from error
+
+
+def _expect_ok(reply: ClientResponse) -> None:
+    if reply.status != HTTPStatus.OK:
+        raise StateResultUnknownError(f"status {reply.status}")
 
 
 class StateClient:
+    """Calls to the state service within the rates that this controller may use.
+
+    Every call that is not urgent takes one token of ``request_bucket``; a transaction takes one
+    token of ``write_bucket`` for each operation besides.
+
+    Each method raises ``StateUnavailableError`` if the request was certainly not carried out, and
+    ``StateResultUnknownError`` if that is not known.
+
+    Attributes:
+        request_bucket: limits all requests.
+        write_bucket: limits written keys.
+        rate_limited_at: event loop time of the latest answer 429; minus infinity before the first.
+        write_rate_limited: whether a transaction with operations was ever answered with 429.
+    """
+
     def __init__(
         self,
         request: Request,
-        addr: str,
-        reads: TokenBucket,
-        writes: TokenBucket,
+        address: str,
+        request_bucket: TokenBucket,
+        write_bucket: TokenBucket,
         lease_request: Request | None = None,
     ) -> None:
-        """``lease_request``: what carries renewals of the lease, if not ``request``: they are to
-        wait behind nothing else."""
+        """Create a client; no connection is made.
+
+        Args:
+            request: sends a request.
+            address: host and port of the state service.
+            request_bucket: limits all requests.
+            write_bucket: limits written keys.
+            lease_request: sends lease renewals, so that they never queue behind other requests;
+                ``request`` if None.
+        """
         self._request = request
         self._lease_request = lease_request or request
-        self._addr = addr
-        self.request_bucket = reads
-        self.write_bucket = writes
-        self.rate_limited_at = float("-inf")  # when the service last found our rates too high
-        self.write_rate_limited = False  # it found the rate of our writes too high at least once
+        self._address = address
+        self.request_bucket = request_bucket
+        self.write_bucket = write_bucket
+        self.rate_limited_at = float("-inf")
+        self.write_rate_limited = False
 
     async def _call(
         self,
         method: str,
         target: str,
-        body: Any = None,
-        timeout: float = 1.0,
+        body: dict[str, Any] | None = None,
+        timeout: float = REQUEST_TIMEOUT_S,
         urgent: bool = False,
         request: Request | None = None,
     ) -> ClientResponse:
@@ -141,81 +106,111 @@
             await self.request_bucket.acquire()
         request = request or self._request
         try:
-            reply = await request(self._addr, method, target, body, timeout=timeout)
+            reply = await request(self._address, method, target, body, timeout=timeout)
         except NoResponseError as error:
             if error.request_sent:
-                raise StateResultUnknownError(str(error)) from None
-            raise StateUnavailableError(str(error)) from None
-        if reply.status == 429:
+                raise StateResultUnknownError(str(error)) from error
+            raise StateUnavailableError(str(error)) from error
+        if reply.status == HTTPStatus.TOO_MANY_REQUESTS:
             self.rate_limited_at = asyncio.get_running_loop().time()
             raise StateRateLimitedError("status 429")
-        if reply.status == 503:
+        if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
             raise StateUnavailableError("status 503")
         return reply
 
     async def list_keys(self, prefix: str, after: str | None) -> protocol.KeyPage:
-        target = f"/keys?prefix={quote(prefix)}&limit=1000"
+        """Read one page of the keys with a prefix, in key order.
+
+        Args:
+            prefix: of the keys.
+            after: last key of the page before; None for the first page.
+        """
+        target = f"/keys?prefix={quote(prefix)}&limit={PAGE_SIZE}"
         if after is not None:
             target += f"&from={quote(after)}"
-        reply = await self._call("GET", target, timeout=3.0)
-        if reply.status != 200:
-            raise StateResultUnknownError(f"status {reply.status}")
+        reply = await self._call("GET", target, timeout=LIST_TIMEOUT_S)
+        _expect_ok(reply)
         return _decode(reply.body, protocol.KeyPage)
 
     async def watch(
         self, prefix: str, after: int, wait_s: float, urgent: bool = False
     ) -> protocol.WatchResponse | None:
-        """What changed after a revision; None when the service no longer knows."""
+        """Wait for changes of the keys with a prefix.
+
+        Args:
+            prefix: of the keys.
+            after: revision; later changes are returned.
+            wait_s: the service answers with no changes after this time; 0: at once.
+            urgent: takes no token of ``request_bucket``; the caller has taken one.
+
+        Returns:
+            The changes, or None if the service no longer knows all changes since ``after``.
+        """
         target = f"/watch?prefix={quote(prefix)}&from={after}&wait_ms={int(wait_s * 1000)}"
-        reply = await self._call("GET", target, timeout=wait_s + 1.0, urgent=urgent)
-        if reply.status == 410:
+        reply = await self._call("GET", target, timeout=wait_s + WATCH_MARGIN_S, urgent=urgent)
+        if reply.status == HTTPStatus.GONE:
             return None
-        if reply.status != 200:
-            raise StateResultUnknownError(f"status {reply.status}")
+        _expect_ok(reply)
         return _decode(reply.body, protocol.WatchResponse)
 
     async def transact(
         self,
         conditions: Sequence[protocol.Condition],
         operations: Sequence[protocol.Operation],
-        timeout: float = 1.0,
+        timeout: float = REQUEST_TIMEOUT_S,
     ) -> int:
+        """Apply all operations if all conditions hold, else none (compare-and-swap).
+
+        Returns:
+            The revision of the changes.
+
+        Raises:
+            TransactionConflictError: a condition did not hold.
+            LeaseExpiredError: an operation names a lease that has expired.
+            StateRejectedError: the transaction is malformed or too large.
+        """
         if operations:
             await self.write_bucket.acquire(len(operations))
+        request = protocol.transaction_request(conditions, operations)
         try:
-            reply = await self._call(
-                "POST", "/multi", protocol.transaction_request(conditions, operations), timeout
-            )
+            reply = await self._call("POST", "/multi", request, timeout)
         except StateRateLimitedError:
             self.write_rate_limited = self.write_rate_limited or bool(operations)
             raise
-        if reply.status == 200:
-            return _decode(reply.body, protocol.TransactionCommitted).revision
-        if reply.status == 409:
-            raise TransactionConflictError(
-                _decode(reply.body, protocol.TransactionFailed).failed_keys
-            )
-        if reply.status == 400 and b"lease" in reply.body:
-            raise LeaseExpiredError
-        if reply.status == 400:
-            raise StateRejectedError(f"status 400: {reply.body[:200]!r}")
-        raise StateResultUnknownError(f"status {reply.status}")
+        if reply.status == HTTPStatus.CONFLICT:
+            failed = _decode(reply.body, protocol.TransactionFailed)
+            raise TransactionConflictError(failed.failed_keys)
+        if reply.status == HTTPStatus.BAD_REQUEST:
+            if b"lease" in reply.body:
+                raise LeaseExpiredError
+            raise StateRejectedError(f"status 400: {reply.body[:ERROR_EXCERPT_BYTES]!r}")
+        _expect_ok(reply)
+        return _decode(reply.body, protocol.TransactionCommitted).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
+        """Create a lease that expires ``ttl_s`` seconds after its last renewal; returns its id."""
         reply = await self._call("POST", "/grants", {"life_ms": int(ttl_s * 1000)})
-        if reply.status != 200:
-            raise StateResultUnknownError(f"status {reply.status}")
+        _expect_ok(reply)
         return _decode(reply.body, protocol.LeaseGranted).lease_id
 
-    async def renew_lease(self, lease: int, timeout: float) -> None:
-        target = f"/grants/{lease}/extend"
+    async def renew_lease(self, lease_id: int, timeout: float) -> None:
+        """Renew a lease; takes no token of the buckets.
+
+        Raises:
+            LeaseExpiredError: it has expired.
+        """
         reply = await self._call(
-            "POST", target, {}, timeout=timeout, urgent=True, request=self._lease_request
+            "POST",
+            f"/grants/{lease_id}/extend",
+            {},
+            timeout=timeout,
+            urgent=True,
+            request=self._lease_request,
         )
-        if reply.status == 404:
+        if reply.status == HTTPStatus.NOT_FOUND:
             raise LeaseExpiredError
-        if reply.status != 200:
-            raise StateResultUnknownError(f"status {reply.status}")
+        _expect_ok(reply)
 
-    async def revoke_lease(self, lease: int) -> None:
-        await self._call("DELETE", f"/grants/{lease}")
+    async def revoke_lease(self, lease_id: int) -> None:
+        """End a lease now; the keys tied to it are deleted. Its answer's status is ignored."""
+        await self._call("DELETE", f"/grants/{lease_id}")
--- a/petrelthread/store/test_client.py
+++ b/petrelthread/store/test_client.py
@@ -1,9 +1,7 @@
-"""What an answer of the state service proves."""
+"""Errors of the state service client: which answers prove that a request was not carried out."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from petrelthread import protocol
@@ -12,6 +10,7 @@
     LeaseExpiredError,
     StateClient,
     StateResultUnknownError,
+    StateServiceError,
     StateUnavailableError,
     TokenBucket,
     TransactionConflictError,
@@ -19,8 +18,8 @@
 from tests.virtual import play
 
 
-def client(outcome: ClientResponse | NoResponseError) -> StateClient:
-    async def request(*args: Any, **kwargs: Any) -> ClientResponse:
+def client_that_gets(outcome: ClientResponse | NoResponseError) -> StateClient:
+    async def request(*args: object, **kwargs: object) -> ClientResponse:
         if isinstance(outcome, NoResponseError):
             raise outcome
         return outcome
@@ -31,28 +30,38 @@
 @pytest.mark.parametrize(
     ("outcome", "error"),
     [
-        (NoResponseError("refused", sent=False), StateUnavailableError),
-        (NoResponseError("timeout", sent=True), StateResultUnknownError),
-        (ClientResponse(429, b""), StateUnavailableError),
-        (ClientResponse(503, b"{}"), StateUnavailableError),
-        (ClientResponse(500, b""), StateResultUnknownError),
-        (ClientResponse(200, b"{garbled"), StateResultUnknownError),
-        (ClientResponse(200, b'{"epoch":"x"}'), StateResultUnknownError),
-        (ClientResponse(409, b'{"failed":["pt/lead"]}'), TransactionConflictError),
-        (ClientResponse(409, b"\xff"), StateResultUnknownError),
-        (ClientResponse(400, b'{"error":"no such lease"}'), LeaseExpiredError),
-        (ClientResponse(400, b'{"error":"malformed"}'), StateUnavailableError),
+        pytest.param(NoResponseError("refused", sent=False), StateUnavailableError, id="not sent"),
+        pytest.param(NoResponseError("timeout", sent=True), StateResultUnknownError, id="timeout"),
+        pytest.param(ClientResponse(429, b""), StateUnavailableError, id="429"),
+        pytest.param(ClientResponse(503, b"{}"), StateUnavailableError, id="503"),
+        pytest.param(ClientResponse(500, b""), StateResultUnknownError, id="500"),
+        pytest.param(ClientResponse(200, b"{garbled"), StateResultUnknownError, id="200 no JSON"),
+        pytest.param(
+            ClientResponse(200, b'{"epoch":"x"}'), StateResultUnknownError, id="200 wrong type"
+        ),
+        pytest.param(
+            ClientResponse(409, b'{"failed":["pt/lead"]}'), TransactionConflictError, id="409"
+        ),
+        pytest.param(ClientResponse(409, b"\xff"), StateResultUnknownError, id="409 no UTF-8"),
+        pytest.param(
+            ClientResponse(400, b'{"error":"no such lease"}'), LeaseExpiredError, id="400 lease"
+        ),
+        pytest.param(
+            ClientResponse(400, b'{"error":"malformed"}'), StateUnavailableError, id="400 other"
+        ),
     ],
 )
-def test_a_refusal_is_told_from_a_lost_or_garbled_answer(outcome: Any, error: Any) -> None:
+def test_a_failed_transaction_tells_whether_it_may_have_been_applied(
+    outcome: ClientResponse | NoResponseError, error: type[StateServiceError]
+) -> None:
     with pytest.raises(error):
-        play(client(outcome).transact([], [protocol.PutOperation("pt/a", 1)]))
+        play(client_that_gets(outcome).transact([], [protocol.PutOperation("pt/a", 1)]))
 
 
-def test_a_lease_that_has_ended_is_no_outage() -> None:
+def test_an_expired_lease_is_told_from_an_outage() -> None:
     with pytest.raises(LeaseExpiredError):
-        play(client(ClientResponse(404, b"{}")).renew_lease(7, 1.0))
+        play(client_that_gets(ClientResponse(404, b"{}")).renew_lease(7, 1.0))
     with pytest.raises(StateUnavailableError):
-        play(client(ClientResponse(503, b"{}")).renew_lease(7, 1.0))
+        play(client_that_gets(ClientResponse(503, b"{}")).renew_lease(7, 1.0))
     with pytest.raises(StateResultUnknownError):
-        play(client(ClientResponse(200, b"[]")).grant_lease(3.0))
+        play(client_that_gets(ClientResponse(200, b"[]")).grant_lease(3.0))
--- a/petrelthread/store/test_write_rates.py
+++ b/petrelthread/store/test_write_rates.py
@@ -1,4 +1,4 @@
-"""The write limit's division, and how a lowered one is learnt."""
+"""Division of the write limit, and how a controller learns that the limit was lowered."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("controllers", [1, 2, 5])
-def test_all_shares_together_stay_within_the_limit(controllers: int) -> None:
+def test_the_shares_of_all_controllers_stay_within_the_limit(controllers: int) -> None:
     rates = WriteRates.divide(25.0, controllers)
     used = rates.leader + (controllers - 1) * rates.follower
     assert 0.5 * 25.0 < used <= 25.0 - rates.unused + 1e-9
@@ -19,9 +19,11 @@
 
 
 @pytest.mark.parametrize(
-    ("operations", "shows"), [([protocol.PutOperation("pt/a", 1)], True), ([], False)]
+    ("operations", "shows"),
+    [([protocol.PutOperation("pt/a", 1)], True), ([], False)],
+    ids=["write", "conditions only"],
 )
-def test_only_a_refused_write_shows_that_the_write_limit_dropped(
+def test_only_a_rate_limited_write_shows_that_the_write_limit_was_lowered(
     operations: list[protocol.Operation], shows: bool
 ) -> None:
     async def refused(*args: object, **kwargs: object) -> ClientResponse:
--- /dev/null
+++ b/petrelthread/store/token_bucket.py
@@ -0,0 +1,71 @@
+"""Rate limiting of outgoing requests."""
+
+from __future__ import annotations
+
+import asyncio
+
+LOW_LEVEL_SHARE = 0.3  # of the burst; below this the bucket counts as low
+FULL_LEVEL_SHARE = 0.8  # of the burst; above this the bucket counts as full
+
+
+class TokenBucket:
+    """A token bucket: ``rate`` tokens a second flow in, up to ``burst`` tokens.
+
+    The level may become negative: ``acquire`` takes its tokens at once and then sleeps until the
+    debt is paid, so that callers are served in order and no amount is too large.
+
+    Attributes:
+        rate: tokens a second; change it with ``set_rate``.
+        burst: most tokens that the bucket holds, at least 1.
+        total_acquired: tokens taken since the start.
+    """
+
+    def __init__(self, rate: float, burst: float) -> None:
+        self.rate = rate
+        self.burst = max(burst, 1.0)
+        self.total_acquired = 0.0
+        self._level = self.burst
+        self._refilled_at: float | None = None
+
+    def _refill(self, now: float) -> None:
+        if self._refilled_at is not None:
+            self._level = min(self.burst, self._level + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
+
+    async def acquire(self, amount: float = 1.0) -> None:
+        """Take tokens and wait until the bucket covers them."""
+        loop = asyncio.get_running_loop()
+        self._refill(loop.time())
+        self._level -= amount
+        self.total_acquired += amount
+        if self._level < 0:
+            await asyncio.sleep(-self._level / self.rate)
+
+    def set_rate(self, rate: float, now: float) -> None:
+        """Change the rate from ``now`` on; the time before counts at the old rate."""
+        self._refill(now)
+        self.rate = rate
+
+    def refund(self, amount: float = 1.0) -> None:
+        """Return tokens that were acquired and not used."""
+        self._level = min(self.burst, self._level + amount)
+
+    def available(self, now: float, reserved_share: float) -> int:
+        """How many whole tokens can be taken and leave ``reserved_share`` of the burst."""
+        self._refill(now)
+        return max(0, int(self._level - self.burst * reserved_share))
+
+    def is_low(self, now: float) -> bool:
+        """Whether demand exceeds the rate, so that few tokens are left."""
+        self._refill(now)
+        return self._level < self.burst * LOW_LEVEL_SHARE
+
+    def is_full(self, now: float) -> bool:
+        """Whether nearly nothing was taken recently."""
+        self._refill(now)
+        return self._level > self.burst * FULL_LEVEL_SHARE
+
+    def wait_time_s(self, now: float) -> float:
+        """Seconds that a request for one token made now would wait."""
+        self._refill(now)
+        return max(0.0, (1.0 - self._level) / self.rate)
--- a/petrelthread/store/watch_cache.py
+++ b/petrelthread/store/watch_cache.py
@@ -1,25 +1,45 @@
-"""A copy of our keys, followed by an open watch and made fresh on demand."""
+"""A copy of the keys in the state service, kept up to date by a watch and refreshed on demand."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from petrelthread import protocol
-from petrelthread.store.client import StateClient, StateResultUnknownError, StateUnavailableError
+from petrelthread.store.client import StateClient
+from petrelthread.store.errors import StateResultUnknownError, StateUnavailableError
 
 log = logging.getLogger(__name__)
 
-KEY_PREFIX = "pt/"
-WATCH_TIMEOUT_S = 10.0
+KEY_PREFIX = "pt/"  # of all keys of the scheduler in the state service
+WATCH_TIMEOUT_S = 10.0  # the service answers a watch without changes after this time
+FOLLOW_RETRY_S = 0.3  # after a failed watch or reload
 
 Listener = Callable[[str, Any, int], None]
+"""Takes a key without prefix, its value (None: deleted) and the revision of the change."""
+
+
+class _Snapshot(NamedTuple):
+    """All keys, read page by page."""
+
+    values: dict[str, tuple[Any, int]]  # value and revision by key without prefix
+    revision: int  # of the first page: later changes may be missing from the values
 
 
 class WatchCache:
-    """Values by key (below ROOT). Every change is told once, in order, to the listener."""
+    """Follows all keys below ``KEY_PREFIX`` and tells a listener of each change once, in order.
+
+    Attributes:
+        poll_interval_s: pause between two watches.
+        revisions: revision of the last change by key without prefix; deleted keys are absent.
+        revision: all changes up to this revision have been told.
+        loaded: set once all keys have been read.
+        current_as_of: event loop time; every change that the service held then has been told. It
+            is the start of the newest completed read: changes made during a read may be missing
+            from its answer.
+    """
 
     def __init__(self, client: StateClient, listener: Listener, poll_interval_s: float) -> None:
         self._client = client
@@ -28,78 +48,82 @@
         self.revisions: dict[str, int] = {}
         self.revision = 0
         self.loaded = asyncio.Event()
-        # Everything that the service held at this instant is known here: the start of the newest
-        # complete read. An answer that came later may still be older than a change after its start.
         self.current_as_of = float("-inf")
-        self._round: asyncio.Task[bool] | None = None
-        self._next_round: asyncio.Task[bool] | None = None
+        self._running_refresh: asyncio.Task[bool] | None = None
+        self._next_refresh: asyncio.Task[bool] | None = None  # has not begun to read
 
     async def load(self) -> None:
-        """Read all keys. Changes during the reading come again by the watch from its start.
+        """Read all keys and tell the differences to what is known.
+
+        A watch may run at the same time and tell of newer changes. What is older than those is
+        skipped, and the revision never decreases.
 
-        Another read may have told newer things meanwhile, this controller's own claims among them:
-        what is older than those changes nothing, and the revision never goes back.
+        Raises:
+            StateUnavailableError, StateResultUnknownError: a page could not be read; nothing was
+                told.
         """
-        started = asyncio.get_running_loop().time()
-        found: dict[str, tuple[Any, int]] = {}
-        first: int | None = None
+        started_at = asyncio.get_running_loop().time()
+        snapshot = await self._read_all_keys()
+        told_revision = self.revision  # may have been raised by a watch during the read
+        for key, revision in list(self.revisions.items()):
+            if key not in snapshot.values and revision <= snapshot.revision:
+                self._notify(key, None, snapshot.revision)
+        for key, (value, revision) in sorted(snapshot.values.items(), key=lambda item: item[1][1]):
+            if revision > max(told_revision, self.revisions.get(key, 0)):
+                self._notify(key, value, revision)
+        self.revision = max(told_revision, snapshot.revision)
+        self.current_as_of = max(self.current_as_of, started_at)
+        self.loaded.set()
+
+    async def _read_all_keys(self) -> _Snapshot:
+        values: dict[str, tuple[Any, int]] = {}
+        first_revision: int | None = None
         after: str | None = None
         while True:
             page = await self._client.list_keys(KEY_PREFIX, after)
-            first = page.revision if first is None else first
-            for pair in page.items:
-                found[pair.key[len(KEY_PREFIX) :]] = (pair.value, pair.revision)
+            first_revision = page.revision if first_revision is None else first_revision
+            for item in page.items:
+                values[item.key[len(KEY_PREFIX) :]] = (item.value, item.revision)
             if not page.more:
-                break
+                return _Snapshot(values, first_revision)
             last = page.items[-1].key if page.items else ""
             if last <= (after or ""):
-                # A reading that lacks keys would make this controller forget what they hold.
+                # An incomplete snapshot would delete the missing keys from the cache.
                 raise StateResultUnknownError(
                     f"page after {after!r} goes no further, though more is to come"
                 )
             after = last
-        reached = self.revision  # by a watch, which told everything up to it
-        for key, told in list(self.revisions.items()):
-            if key not in found and told <= first:
-                self._notify(key, None, first)
-        for key, (value, stamp) in sorted(found.items(), key=lambda item: item[1][1]):
-            if stamp > max(reached, self.revisions.get(key, 0)):
-                self._notify(key, value, stamp)
-        self.revision = max(reached, first)
-        self.current_as_of = max(self.current_as_of, started)
-        self.loaded.set()
 
-    def _notify(self, key: str, value: Any, revision: int) -> None:
+    def _notify(self, key: str, value: object, revision: int) -> None:
         if value is None:
             self.revisions.pop(key, None)
         else:
             self.revisions[key] = revision
         self._listener(key, value, revision)
 
-    def _apply(self, events: protocol.WatchResponse) -> None:
-        # Two watches may be open at once: each answer covers all up to its epoch, so whatever
-        # lies at or below the revision reached has been told already.
-        for event in events.changes:
-            if event.revision <= self.revision:
+    def _apply(self, response: protocol.WatchResponse) -> None:
+        # Two watches may be open at once, so changes up to the known revision were told already.
+        for change in response.changes:
+            if change.revision <= self.revision:
                 continue
-            if event.put_key is not None:
-                self._notify(event.put_key[len(KEY_PREFIX) :], event.value, event.revision)
-            elif event.deleted_key is not None:
-                self._notify(event.deleted_key[len(KEY_PREFIX) :], None, event.revision)
-        self.revision = max(self.revision, events.revision)
+            if change.put_key is not None:
+                self._notify(change.put_key[len(KEY_PREFIX) :], change.value, change.revision)
+            elif change.deleted_key is not None:
+                self._notify(change.deleted_key[len(KEY_PREFIX) :], None, change.revision)
+        self.revision = max(self.revision, response.revision)
 
     async def _catch_up(self, wait_s: float, urgent: bool = False) -> None:
-        start = asyncio.get_running_loop().time()
-        events = await self._client.watch(KEY_PREFIX, self.revision, wait_s, urgent)
-        if events is None:
+        started_at = asyncio.get_running_loop().time()
+        response = await self._client.watch(KEY_PREFIX, self.revision, wait_s, urgent)
+        if response is None:
             log.info("state: watch too old, reading all keys again")
             await self.load()
             return
-        self._apply(events)
-        self.current_as_of = max(self.current_as_of, start)
+        self._apply(response)
+        self.current_as_of = max(self.current_as_of, started_at)
 
     async def follow(self) -> None:
-        """Keep the cache near the service for as long as the process lives."""
+        """Load all keys, then watch them until cancelled."""
         while True:
             try:
                 if not self.loaded.is_set():
@@ -109,23 +133,26 @@
                 await asyncio.sleep(self.poll_interval_s)
             except (StateUnavailableError, StateResultUnknownError) as error:
                 log.debug("state: watch failed: %s", error)
-                await asyncio.sleep(0.3)
+                await asyncio.sleep(FOLLOW_RETRY_S)
 
     async def refresh(self) -> bool:
-        """True once the cache holds all that was there when this was called.
+        """Tell all changes that the service held when this was called.
+
+        Concurrent callers share one read. A read serves only callers that asked before it began,
+        so one may be running while the next one collects callers.
 
-        Callers share rounds: a round serves only those who asked before it began, so one may be
-        running while the next one gathers callers.
+        Returns:
+            False if the keys are not loaded yet or the service did not answer.
         """
-        if self._next_round is None:
-            self._next_round = asyncio.create_task(self._refresh_round(self._round))
-        return await asyncio.shield(self._next_round)
+        if self._next_refresh is None:
+            self._next_refresh = asyncio.create_task(self._refresh_after(self._running_refresh))
+        return await asyncio.shield(self._next_refresh)
 
-    async def _refresh_round(self, before: asyncio.Task[bool] | None) -> bool:
-        if before is not None and not before.done():
-            await asyncio.wait([before])
+    async def _refresh_after(self, previous: asyncio.Task[bool] | None) -> bool:
+        if previous is not None and not previous.done():
+            await asyncio.wait([previous])
         await self._client.request_bucket.acquire()
-        self._round, self._next_round = self._next_round, None
+        self._running_refresh, self._next_refresh = self._next_refresh, None
         if not self.loaded.is_set():
             return False
         try:
--- a/petrelthread/store/write_quota.py
+++ b/petrelthread/store/write_quota.py
@@ -1,8 +1,9 @@
-"""How many writes a second this controller may make, of what the state service takes from all.
+"""One controller's share of the write limit, with loans between controllers.
 
-Each has a share fixed by its role. What it does not need it lends to a sibling that asks, for a few
-seconds: the loan counts here until it has surely ended there, whatever was lost or came late on the
-way. So all shares together stay within the limit without anybody knowing who is alive.
+Each controller has a base rate by its role. What it does not need it lends to a controller that
+asks, for ``LOAN_DURATION_S``. The lender counts a loan for longer than the borrower does, whatever
+is lost or delayed between them, so all rates together stay within the limit although no controller
+knows which others are alive.
 """
 
 from __future__ import annotations
@@ -10,47 +11,70 @@
 from typing import NamedTuple
 
 LOAN_DURATION_S = 3.0
-MAX_CLOCK_DRIFT = 1.002
-RETAINED_SHARE = 0.5  # of its share that a controller never lends: its users come in bursts
-MIN_WRITE_RATE = 0.2  # a second, until loans given under a larger share have ended
-NEED_FACTOR = 2.0  # times its writes of late that it may soon need
+MAX_CLOCK_DRIFT = 1.002  # the lender's clock may run faster than the borrower's by this factor
+RETAINED_SHARE = 0.5  # of the base rate that is never lent, because user requests come in bursts
+MIN_WRITE_RATE = 0.2  # writes a second
+NEED_FACTOR = 2.0  # a controller may soon need this many times its recent writes
 
 
 class Loan(NamedTuple):
-    amount: float
-    until: float
+    """A part of a base rate that another controller uses for a while."""
+
+    rate: float  # writes a second
+    expires_at: float  # seconds on the clock of the controller that keeps this record
 
 
 class WriteQuota:
-    def __init__(self, base: float) -> None:
-        self.base_rate = base
-        self.extra_rate = 0.0  # beyond the base, where the limit's margin allows it
-        self._lent: dict[str, list[Loan]] = {}
-        self._borrowed: dict[str, Loan] = {}
-
-    def lend(self, to: str, asked: float, used: float, now: float) -> float:
-        """The answer to a sibling that asks for more; ``used``: our own writes a second of late."""
+    """How many writes a second this controller may make.
+
+    Attributes:
+        base_rate: writes a second by role, before loans.
+        extra_rate: writes a second beyond the base that the unused part of the limit allows.
+    """
+
+    def __init__(self, base_rate: float) -> None:
+        self.base_rate = base_rate
+        self.extra_rate = 0.0
+        self._lent: dict[str, list[Loan]] = {}  # by borrower
+        self._borrowed: dict[str, Loan] = {}  # by lender
+
+    def lend(self, borrower: str, requested: float, used: float, now: float) -> float:
+        """Answer a controller's request for a loan.
+
+        Args:
+            borrower: name of the controller that asks.
+            requested: writes a second that it asks for.
+            used: writes a second that this controller made recently.
+            now: seconds.
+
+        Returns:
+            Writes a second lent; may be 0.
+        """
         need = max(RETAINED_SHARE * self.base_rate, NEED_FACTOR * used)
-        others = sum(self._outstanding(name, now) for name in self._lent if name != to)
-        amount = max(0.0, min(asked, self.base_rate - need - others))
-        if amount > 0 or to in self._lent:
-            self._lent.setdefault(to, []).append(
-                Loan(amount, now + LOAN_DURATION_S * MAX_CLOCK_DRIFT)
-            )
+        lent_to_others = sum(
+            self._outstanding(name, now) for name in self._lent if name != borrower
+        )
+        amount = max(0.0, min(requested, self.base_rate - need - lent_to_others))
+        if amount > 0 or borrower in self._lent:
+            expires_at = now + LOAN_DURATION_S * MAX_CLOCK_DRIFT
+            self._lent.setdefault(borrower, []).append(Loan(amount, expires_at))
         return amount
 
-    def record_loan(self, lender: str, amount: float, asked_at: float) -> None:
-        """A sibling's answer. It counts from when we asked, which was before it lent anything."""
-        self._borrowed[lender] = Loan(amount, asked_at + LOAN_DURATION_S)
+    def record_loan(self, lender: str, amount: float, requested_at: float) -> None:
+        """Take a loan that was requested at a time before the lender decided on it."""
+        self._borrowed[lender] = Loan(amount, requested_at + LOAN_DURATION_S)
 
-    def _outstanding(self, to: str, now: float) -> float:
-        # Its newest answer may be lost, so that an older, larger loan still counts there.
-        loans = self._lent[to] = [loan for loan in self._lent[to] if loan.until > now]
-        return max((loan.amount for loan in loans), default=0.0)
+    def _outstanding(self, borrower: str, now: float) -> float:
+        # The newest answer may be lost, so that the borrower still uses an older, larger loan.
+        loans = self._lent[borrower] = [
+            loan for loan in self._lent[borrower] if loan.expires_at > now
+        ]
+        return max((loan.rate for loan in loans), default=0.0)
 
     def rate(self, now: float) -> float:
+        """Writes a second that this controller may make now, above 0."""
         lent = sum(self._outstanding(name, now) for name in self._lent)
-        borrowed = sum(loan.amount for loan in self._borrowed.values() if loan.until > now)
-        # A leader that has just lost the lead may have lent all that a follower's share is. With a
-        # rate of 0 its users' submissions ended in a traceback until the loan was over.
+        borrowed = sum(loan.rate for loan in self._borrowed.values() if loan.expires_at > now)
+        # A former leader's open loans may exceed a follower's base rate; a rate of 0 or less would
+        # make the division by the rate fail.
         return max(MIN_WRITE_RATE, self.base_rate - lent + borrowed + self.extra_rate)
--- a/petrelthread/store/write_rates.py
+++ b/petrelthread/store/write_rates.py
@@ -1,8 +1,7 @@
-"""How the state service's write limit is divided among the controllers, before and after it drops.
+"""Division of the state service's write limit among the controllers.
 
-The service may lower its limit at a moment that nobody announces. A write beyond the limit is
-refused and surely not carried out, so the present limit is used until a refusal shows the new one:
-the smaller from the start sent the users of the first seconds away.
+The service may lower its limit without notice. A write beyond the limit is refused and certainly
+not applied, so the controllers use the higher limit until a refusal shows that it was lowered.
 """
 
 from __future__ import annotations
@@ -10,19 +9,20 @@
 from typing import NamedTuple
 
 USED_SHARE = 0.9  # of the limit, by all controllers together
-LEADER_SHARE = 0.6  # of what all use
+LEADER_SHARE = 0.6  # of what all controllers use
 
 
 class WriteRates(NamedTuple):
-    """Writes a second, and the burst of one controller."""
+    """Shares of the write limit, in writes a second."""
 
     leader: float
-    follower: float
-    unused: float  # left free by all together
-    burst: float
+    follower: float  # of each one
+    unused: float  # left free by all controllers together
+    burst: float  # writes that one controller may make at once
 
     @classmethod
     def divide(cls, limit: float, controllers: int) -> WriteRates:
+        """Divide a limit of writes a second among one leader and its followers."""
         used = limit * USED_SHARE
         followers = max(1, controllers - 1)
         return cls(
