--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import logging
-from typing import Any
 
 import orjson
 
@@ -76,13 +75,13 @@
     async def _get_settings(self) -> Response:
         if not await self._parts.watch_cache.refresh():
             return error_response(503, "state service unreachable", 2)
-        stored = self._parts.cluster_state.options or {"values": {}, "stamp": 0}
-        values = with_defaults(stored["values"])
+        stored = self._parts.cluster_state.options
+        values = with_defaults(stored.values)
         shown = [
             {
                 "name": name,
                 "value": values[name],
-                "set": name in stored["values"],
+                "set": name in stored.values,
                 "default": definition.default,
                 "least": definition.minimum,
                 "most": definition.maximum,
@@ -90,7 +89,7 @@
             }
             for name, definition in SETTING_DEFINITIONS.items()
         ]
-        return json_response(200, {"version": stored["stamp"], "settings": shown})
+        return json_response(200, {"version": stored.revision, "settings": shown})
 
     async def _set(self, body: bytes) -> Response:
         try:
@@ -108,10 +107,10 @@
             return error_response(400, str(error))
         if not await self._parts.watch_cache.refresh():
             return error_response(503, "state service unreachable", 2)
-        stored: dict[str, Any] = self._parts.cluster_state.options or {"values": {}, "stamp": 0}
-        if stored["stamp"] != version:
-            return error_response(409, f"version {version} is stale, it is {stored['stamp']}")
-        values = {**stored["values"], name: number}
+        stored = self._parts.cluster_state.options
+        if stored.revision != version:
+            return error_response(409, f"version {version} is stale, it is {stored.revision}")
+        values = {**stored.values, name: number}
         if number is None:
             del values[name]
         key = KEY_PREFIX + "options"
--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -15,7 +15,7 @@
 from petrelthread.fleet import Health
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.settings import Settings, parse
-from petrelthread.state import ClusterState, Job, epoch_base_number
+from petrelthread.state import ClusterState, Job, JobRecord, encode, epoch_base_number
 
 EPOCH = 3
 CORES = 4.0
@@ -107,9 +107,9 @@
             bundle=f"img-{image:02d}",
             size_gb=1.5,
         )
-        value = Job.encode(msgspec.convert(spec, protocol.JobSpec), time.time())
-        job = self.state.add_job(str(spec["name_id"]), value)
-        self._stored[job.index] = value
+        record = JobRecord.from_spec(msgspec.convert(spec, protocol.JobSpec), time.time())
+        job = self.state.add_job(str(spec["name_id"]), record)
+        self._stored[job.index] = encode(record)
         return job
 
     def stored(self, job: Job) -> list[Any]:
--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -9,7 +9,14 @@
 from dataclasses import dataclass
 
 from petrelthread.benchmark.populated import EPOCH, TASKS_PER_WAITING_JOB, PopulatedLeader
-from petrelthread.state import ClusterState, InternedNames, epoch_base_number, pack_round_records
+from petrelthread.state import (
+    ClusterState,
+    InternedNames,
+    Placement,
+    encode,
+    epoch_base_number,
+    pack_round_records,
+)
 
 SIZES = (600, 1200, 2400, 4000, 8000)
 ROUNDS = 30
@@ -57,12 +64,14 @@
     state = leader.state
     jobs = [(f"j/{job.id}", leader.stored(job)) for job in state.jobs]
     entries = [
-        (state.names.machines.name(machine), 1, attempt.job.id, attempt.task)
+        Placement(state.names.machines.name(machine), 1, attempt.job.id, attempt.task)
         for machine, there in state.attempts_by_machine.items()
         for attempt in there.values()
     ]
     records = pack_round_records(entries, RECORD_BYTES)
-    rounds = [(f"r/{epoch_base_number(EPOCH) + n}", record) for n, record in enumerate(records, 1)]
+    rounds = [
+        (f"r/{epoch_base_number(EPOCH) + n}", encode(record)) for n, record in enumerate(records, 1)
+    ]
     return [*jobs, *rounds]
 
 
--- a/petrelthread/emulator/loopback_world.py
+++ b/petrelthread/emulator/loopback_world.py
@@ -32,7 +32,7 @@
 from petrelthread.emulator.state_service import StateService
 from petrelthread.emulator.workload import PlannedJob
 from petrelthread.settings import UNLIMITED, Workers
-from petrelthread.state import Job
+from petrelthread.state import JobRecord, encode
 from petrelthread.store import KEY_PREFIX
 
 PEER_WAIT_S = 0.8
@@ -166,7 +166,7 @@
         self.run_s[job.job_id] = job.run_s
         if job.submit_s < 0:
             spec = msgspec.convert(job.spec, protocol.JobSpec)
-            value = Job.encode(spec, time.time() + job.submit_s)
+            value = encode(JobRecord.from_spec(spec, time.time() + job.submit_s))
             self.store.put(f"{KEY_PREFIX}j/{job.job_id}", value)
             self.judge.told(job.job_id, 201, {"status": "queued"})
 
--- a/petrelthread/fleet/registry.py
+++ b/petrelthread/fleet/registry.py
@@ -364,7 +364,6 @@
             attempt = self.cluster_state.add_attempt(
                 leg.attempt, job, task, machine.index, report.incarnation
             )
-            attempt.claimed_at = now
             self._reconcile_listed(machine, attempt, leg, now)
             return True
         return False
@@ -395,8 +394,6 @@
             and before in BEFORE_RUNNING
         ):
             attempt.running_at = now
-            if not job.first_start_at:
-                job.first_start_at = now
             machine.use_image(
                 job.image, job.image_size_gb, self.callbacks.image_cache_gb(machine.machine_type)
             )
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -13,7 +13,14 @@
 from petrelthread.fleet import CommandDispatcher, CommandPlanner, FailureDetector, Fleet, Machine
 from petrelthread.fleet.command_dispatcher import MAX_READS, MAX_READS_WHEN_LATE
 from petrelthread.http import ClientResponse, NoResponseError
-from petrelthread.state import Attempt, ClusterState, InternedNames, Job, OperationState, transition
+from petrelthread.state import (
+    Attempt,
+    ClusterState,
+    InternedNames,
+    JobRecord,
+    OperationState,
+    transition,
+)
 from tests.virtual import play
 from tests.world import job
 
@@ -26,7 +33,8 @@
     def __init__(self) -> None:
         cluster_state = ClusterState(InternedNames(["red"], ["a"]))
         cluster_state.add_job(
-            "wk-000001", Job.encode(msgspec.convert(job("wk-000001", 9), protocol.JobSpec), 0.0)
+            "wk-000001",
+            JobRecord.from_spec(msgspec.convert(job("wk-000001", 9), protocol.JobSpec), 0.0),
         )
         self.fleet = Fleet(cluster_state, 10.0, 1.0, 20.0)
         self.fleet.fail_over(EPOCH, asyncio.get_running_loop().time())
--- a/petrelthread/fleet/test_registry.py
+++ b/petrelthread/fleet/test_registry.py
@@ -17,7 +17,7 @@
     Machine,
 )
 from petrelthread.fleet.callbacks import NO_CALLBACKS
-from petrelthread.state import Attempt, ClusterState, InternedNames, Job, OperationState
+from petrelthread.state import Attempt, ClusterState, InternedNames, JobRecord, OperationState
 from tests.world import job
 
 LEASE_S, REPORT_S, HOLD_OVER_S, EPOCH = 10.0, 1.0, 20.0, 5
@@ -26,7 +26,8 @@
 def fleet_at(elected_at: float, callbacks: FleetCallbacks = NO_CALLBACKS) -> Fleet:
     cluster_state = ClusterState(InternedNames(["red"], ["a"]))
     cluster_state.add_job(
-        "wk-000001", Job.encode(msgspec.convert(job("wk-000001", 4), protocol.JobSpec), 0.0)
+        "wk-000001",
+        JobRecord.from_spec(msgspec.convert(job("wk-000001", 4), protocol.JobSpec), 0.0),
     )
     fleet = Fleet(cluster_state, LEASE_S, REPORT_S, HOLD_OVER_S, callbacks)
     fleet.fail_over(EPOCH, elected_at)
@@ -117,7 +118,7 @@
         again.tasks.append(done)
         fleet.on_heartbeat(again, 101.0 + tick, answered=True)
     assert fleet.finished_tasks == {0: {0}}
-    fleet.cluster_state.apply_finished_tasks(1, [["wk-000001", [0, 0]]])
+    fleet.cluster_state.on_key("d/1", [["wk-000001", [0, 0]]], 1)
     fleet.finished_tasks.clear()
     again = report(4, EPOCH)
     again.tasks.append(done)
--- a/petrelthread/interner.py
+++ b/petrelthread/interner.py
@@ -1,10 +1,12 @@
-"""Names become dense indices at the door; everything inside works with the indices."""
+"""Interning: names from outside become small integers, which the scheduler works with."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 
 class Interner:
-    """Indices for one kind of name. They are never reused."""
+    """Indices for one kind of name: 0, 1, 2 and so on. They are never reused."""
 
     def __init__(self) -> None:
         self._index: dict[str, int] = {}
@@ -28,3 +30,22 @@
 
     def __len__(self) -> int:
         return len(self._names)
+
+
+class InternedNames:
+    """One interner for each kind of name.
+
+    Indices differ between controllers: they are not stored and never leave the process.
+    """
+
+    def __init__(self, teams: Iterable[str] = (), zones: Iterable[str] = ()) -> None:
+        self.teams = Interner()
+        self.zones = Interner()
+        self.machine_types = Interner()
+        self.images = Interner()
+        self.machines = Interner()
+        self.job_classes = Interner()
+        for team in teams:
+            self.teams.index(team)
+        for zone in zones:
+            self.zones.index(zone)
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -20,7 +20,7 @@
     check_runnable,
 )
 from petrelthread.settings import Settings
-from petrelthread.state import ClusterState, Job
+from petrelthread.state import ClusterState, Job, JobRecord, encode
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
@@ -85,7 +85,7 @@
         if spec.job_id in self._cluster_state.jobs_by_id:
             # Accepted once, it is never judged again, whatever the repeat says.
             return await self._state_of(spec.job_id)
-        value = Job.encode(spec, time.time())
+        value = encode(JobRecord.from_spec(spec, time.time()))
         try:
             if len(orjson.dumps(value)) > self._limits.value_kb * 1000:
                 raise JobTooLargeError("the description is too large to keep")
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -9,7 +9,7 @@
 import pytest
 
 from petrelthread import protocol
-from petrelthread.state import Job
+from petrelthread.state import JobRecord, encode
 from tests.virtual import play
 from tests.world import World, job
 
@@ -132,7 +132,8 @@
         status, answer = await world.ask("n1", "POST", "/v2/runs", large)
         assert status == 400 and "too large" in answer["error"]
         spec = protocol.parse_job(orjson.dumps(large))
-        world.store._apply([{"put": "pt/j/wk-000001", "v": Job.encode(spec, 0.0)}])
+        stored = encode(JobRecord.from_spec(spec, 0.0))
+        world.store._apply([{"put": "pt/j/wk-000001", "v": stored}])
         for node in ("n1", "n2"):
             status, answer = await world.ask(node, "POST", "/v2/runs", large)
             assert (status, answer["name_id"]) == (200, "wk-000001")
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -13,7 +13,7 @@
 
 from petrelthread import protocol
 from petrelthread.leadership.fence import Fence
-from petrelthread.state.stored_records import LeaderRecord
+from petrelthread.state import LeaderRecord
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -33,8 +33,7 @@
 from petrelthread.scheduling.cluster_view import ClusterView
 from petrelthread.scheduling.scheduler import Scheduler
 from petrelthread.settings import Settings
-from petrelthread.state import ClusterState, OperationState, transition
-from petrelthread.state.stored_records import ScaleOutRecord
+from petrelthread.state import ClusterState, OperationState, ScaleOutRecord, transition
 from petrelthread.store import KEY_PREFIX
 
 log = logging.getLogger(__name__)
--- a/petrelthread/scheduling/round_claim.py
+++ b/petrelthread/scheduling/round_claim.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
-from typing import Any
 
 from petrelthread import protocol
 from petrelthread.fleet import Fleet
@@ -15,7 +14,10 @@
     TASK_FINISHED,
     Attempt,
     ClusterState,
+    FinishedTasksRecord,
     Job,
+    Placement,
+    RoundRecord,
     pack_finished_tasks,
     pack_round_records,
 )
@@ -37,23 +39,23 @@
     marker: str | None = None  # the key that proves that the claim was applied
     completed: list[Job] = field(default_factory=list)
     done_number: int = 0
-    done_record: list[Any] = field(default_factory=list)
-    rounds: list[tuple[int, Any]] = field(default_factory=list)  # number and record
+    done_record: FinishedTasksRecord = field(default_factory=list)
+    rounds: list[tuple[int, RoundRecord]] = field(default_factory=list)  # number and record
     starts: list[Start] = field(default_factory=list)  # those that its rounds record
     suspects: dict[str, list[str]] = field(default_factory=dict)
     dropped: list[str] = field(default_factory=list)
     more: bool = False  # some of it had to wait for the next round
 
 
-def _tasks_in(records: list[Any]) -> set[tuple[str, int]]:
+def _tasks_in(records: list[RoundRecord]) -> set[tuple[str, int]]:
     """Job and task of each start in the records of a round."""
     return {
-        (job_id, task)
+        (tasks_of_job.job_id, task)
         for record in records
-        for machine, _, jobs in record
-        if machine != STOP_MARKER
-        for job_id, tasks in jobs
-        for task in tasks
+        for entry in record
+        if not entry.is_stop
+        for tasks_of_job in entry.jobs
+        for task in tasks_of_job.tasks
     }
 
 
@@ -149,13 +151,13 @@
         claim.starts = [start for start in wanted if (start.job.id, start.task) in recorded]
         claim.more = cut or len(claim.rounds) < len(records)
 
-    def _pack(self, starts: list[Start], stops: list[Attempt]) -> list[Any]:
-        entries = [(m.name, m.incarnation, job.id, task) for job, task, m in starts]
-        entries += [(STOP_MARKER, 0, a.job.id, a.task) for a in stops]
+    def _pack(self, starts: list[Start], stops: list[Attempt]) -> list[RoundRecord]:
+        entries = [Placement(m.name, m.incarnation, job.id, task) for job, task, m in starts]
+        entries += [Placement(STOP_MARKER, 0, a.job.id, a.task) for a in stops]
         return pack_round_records(entries, self._value_most)
 
     @staticmethod
-    def _gangs_beyond(records: list[Any], starts: list[Start], most: int) -> set[str]:
+    def _gangs_beyond(records: list[RoundRecord], starts: list[Start], most: int) -> set[str]:
         """Gangs that would start without the tasks that stand in records beyond the first ``most``.
 
         A gang too large for a claim of its own is left as it is: it can't start otherwise.
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -29,8 +29,10 @@
     TASK_FINISHED,
     Attempt,
     ClusterState,
+    FinishedTasksRecord,
     Job,
     OperationState,
+    decode_round,
     epoch_base_number,
 )
 
@@ -291,7 +293,8 @@
     def _apply_given_up(self, number: int, record: Any, outcome: ClaimOutcome) -> None:
         """The round counts although its claim was given up, so nothing of it was sent."""
         if outcome is ClaimOutcome.FENCED:
-            self._cluster_state.apply_round(number, record)  # as any controller takes it
+            # As any other controller takes it.
+            self._cluster_state.apply_round(number, decode_round(record))
         else:
             self._cluster_state.settle_unsent_round(number)
 
@@ -317,7 +320,6 @@
                 number, record, OperationState.DISPATCHING, unsent
             )
         for attempt in launched:
-            attempt.claimed_at = now
             attempt.job.last_start_at = time.time()
             self._start_log.write(attempt)
         stopped = [attempt for attempt in claim.stops if attempt.stop_requested_at]
@@ -365,9 +367,9 @@
         elif key in self.obsolete_keys:
             self.obsolete_keys.remove(key)
 
-    def _forget_finished(self, record: list[Any]) -> None:
-        for job_id, _ in record:
-            job = self._cluster_state.jobs_by_id[job_id]
+    def _forget_finished(self, record: FinishedTasksRecord) -> None:
+        for finished in record:
+            job = self._cluster_state.jobs_by_id[finished.job_id]
             tasks = self._fleet.finished_tasks.get(job.index)
             if tasks is None:
                 continue
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -127,7 +127,10 @@
         assert recorded == {"wk-000001": 9}
         assert claim.more
         in_records = sum(
-            len(tasks) for _, record in claim.rounds for _, _, jobs in record for _, tasks in jobs
+            len(tasks_of_job.tasks)
+            for _, record in claim.rounds
+            for entry in record
+            for tasks_of_job in entry.jobs
         )
         assert in_records == 9
 
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -23,6 +23,7 @@
     ClusterState,
     InternedNames,
     Job,
+    JobRecord,
     OperationState,
     epoch_base_number,
     transition,
@@ -114,8 +115,10 @@
         return machine
 
     def accept(self, spec: dict[str, Any], waited_s: float = 0.0) -> Job:
-        value = Job.encode(msgspec.convert(spec, protocol.JobSpec), time.time() - waited_s)
-        return self.cluster_state.add_job(spec["name_id"], value)
+        record = JobRecord.from_spec(
+            msgspec.convert(spec, protocol.JobSpec), time.time() - waited_s
+        )
+        return self.cluster_state.add_job(spec["name_id"], record)
 
     def zones_of_starts(self, job_id: str) -> list[str]:
         """Where the starts of one round's decision would put the job's tasks."""
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -9,7 +9,7 @@
 from petrelthread.fleet import Health, Machine
 from petrelthread.scheduling.start_validator import Start, Violation
 from petrelthread.scheduling.test_scheduler import EPOCH, Cluster, run
-from petrelthread.state import Job
+from petrelthread.state import Job, encode
 from tests.world import job
 
 pytestmark = pytest.mark.refused_starts_expected
@@ -148,7 +148,7 @@
         case = Case(cluster, same_place=True)
         decided = [Start(case.job, 0, case.machines[A]), Start(case.job, 1, case.machines[B])]
         claim = cluster.builder.build(decided, [], 0.0)
-        assert [record for _, record in claim.rounds] == [
+        assert [encode(record) for _, record in claim.rounds] == [
             [["host-000001", 1, [["wk-000001", [0]]]]]
         ]
 
--- a/petrelthread/state/__init__.py
+++ b/petrelthread/state/__init__.py
@@ -1,27 +1,52 @@
-"""Durable truth: jobs, finished tasks, and one record for every effect sent into the world."""
+"""State shared by all controllers through the state service, and the form in which it is stored."""
 
-from petrelthread.state.cluster_state import STOP_MARKER, ClusterState
-from petrelthread.state.job import TASK_FINISHED, TASK_PENDING, Attempt, InternedNames, Job
+from petrelthread.interner import InternedNames
+from petrelthread.state.cluster_state import ClusterState
+from petrelthread.state.job import TASK_FINISHED, TASK_LIVE, TASK_PENDING, Attempt, Job
 from petrelthread.state.operation_state import IllegalTransitionError, OperationState, transition
-from petrelthread.state.records import (
-    RECORDS_PER_EPOCH,
-    epoch_base_number,
-    epoch_of,
-    pack_finished_tasks,
-    pack_round_records,
+from petrelthread.state.record_numbers import RECORDS_PER_EPOCH, epoch_base_number, epoch_of
+from petrelthread.state.record_packing import Placement, pack_finished_tasks, pack_round_records
+from petrelthread.state.stored_records import (
+    STOP_MARKER,
+    FinishedTasks,
+    FinishedTasksRecord,
+    JobRecord,
+    LeaderRecord,
+    RoundEntry,
+    RoundRecord,
+    ScaleOutRecord,
+    StoredOptions,
+    TasksOfJob,
+    decode_finished_tasks,
+    decode_round,
+    encode,
 )
 
 __all__ = [
     "RECORDS_PER_EPOCH",
     "STOP_MARKER",
     "TASK_FINISHED",
+    "TASK_LIVE",
     "TASK_PENDING",
     "Attempt",
     "ClusterState",
+    "FinishedTasks",
+    "FinishedTasksRecord",
     "IllegalTransitionError",
     "InternedNames",
     "Job",
+    "JobRecord",
+    "LeaderRecord",
     "OperationState",
+    "Placement",
+    "RoundEntry",
+    "RoundRecord",
+    "ScaleOutRecord",
+    "StoredOptions",
+    "TasksOfJob",
+    "decode_finished_tasks",
+    "decode_round",
+    "encode",
     "epoch_base_number",
     "epoch_of",
     "pack_finished_tasks",
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -1,128 +1,176 @@
-"""What the state service holds, as every controller knows it.
-
-Keys below the root:
-
-    j/<job>      the job as accepted                                    create-once
-    f/<job>      its final state, done or aborted                       create-once
-    r/<number>   one placement round: [machine, session, [[job, [task...]]...]]...;
-                 without a machine: the tasks to be stopped
-    d/<number>   finished tasks of many jobs, as ranges
-    s/<job>      machines on which a job failed that fails everywhere
-    c/<charter>  one rental          x/<number>  one return
-    lead, epoch, catalog, options
+"""The state that all controllers share: jobs, attempts, and scale-out and scale-in requests.
+
+It is built from the keys in the state service alone, so every controller has it at hand when it
+becomes the leader. ``stored_records`` describes the keys and their values.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection
-from typing import Any
-
-import msgspec
+from collections.abc import Callable, Collection
+from typing import Any, NamedTuple
 
 from petrelthread import protocol
+from petrelthread.interner import InternedNames
+from petrelthread.state import stored_records
 from petrelthread.state.job import (
+    STOP_TIME_UNKNOWN,
     TASK_FINISHED,
     TASK_LIVE,
     TASK_PENDING,
     Attempt,
-    InternedNames,
     Job,
 )
 from petrelthread.state.operation_state import OperationState, transition
-from petrelthread.state.stored_records import ScaleOutRecord
+from petrelthread.state.stored_records import (
+    STOP_MARKER,
+    FinishedTasksRecord,
+    JobRecord,
+    KeyKind,
+    RoundRecord,
+    ScaleOutRecord,
+    StoredOptions,
+    StoredValue,
+    TasksOfJob,
+)
 from petrelthread.state.usage import UsageTracker
 
-STOP_MARKER = ""  # in a round's record, in the place of a machine: tasks to stop
+
+class _KeyHandler(NamedTuple):
+    """What a change of one kind of key does; the name is the key's part after its kind."""
+
+    decode: Callable[[StoredValue], Any]  # makes the record that ``put`` takes
+    put: Callable[[str, Any], object]
+    delete: Callable[[str], object]
 
 
 class ClusterState:
-    """Built from keys alone, so that each controller has it at hand when it takes over."""
+    """Jobs, attempts and requests to the cloud, as recorded in the state service.
+
+    ``on_key`` takes each change of a key. The leader also applies its own claims, by the methods
+    for the single kinds of records, before the watch shows them.
+
+    Attributes:
+        names: interned names of the jobs, machines and teams.
+        jobs: all jobs, by index.
+        jobs_by_id: all jobs, by id.
+        open_jobs: jobs without a final status, by index.
+        attempts_by_machine: attempts that may be running, by machine, and by index of the job and
+            task; machines without attempts are absent.
+        attempts_by_round: attempts that may be running, by number of the round's record, for all
+            records that exist.
+        open_jobs_by_done_record: for each record of finished tasks, the open jobs that need it.
+        machines_by_failing_job: names of machines where a job failed that fails everywhere, by id.
+        scale_out_records: by name of the request.
+        scale_in_records: names of the machines to return, by name of the request.
+        usage: resources of the attempts that may be running.
+        catalog: stored value of the machine types; None if there is none.
+        options: settings that operators changed.
+    """
 
     def __init__(self, names: InternedNames) -> None:
         self.names = names
         self.jobs: list[Job] = []
         self.jobs_by_id: dict[str, Job] = {}
-        self.open_jobs: dict[int, Job] = {}  # jobs without final state
-        self.early_final_statuses: dict[str, str] = {}
+        self.open_jobs: dict[int, Job] = {}
         self.attempts_by_machine: dict[int, dict[tuple[int, int], Attempt]] = {}
-        self.usage = UsageTracker()
         self.attempts_by_round: dict[int, set[Attempt]] = {}
         self.open_jobs_by_done_record: dict[int, set[int]] = {}
         self.machines_by_failing_job: dict[str, list[str]] = {}
         self.scale_out_records: dict[str, ScaleOutRecord] = {}
         self.scale_in_records: dict[str, list[str]] = {}
-        self.catalog: Any = None
-        self.options: Any = None
+        self.usage = UsageTracker()
+        self.catalog: StoredValue = None
+        self.options = StoredOptions({}, 0)
+        self._early_final_statuses: dict[str, str] = {}  # of jobs that are not known yet
+        self._key_handlers = self._make_key_handlers()
 
     # ---- keys ------------------------------------------------------------------------------
 
-    def on_key(self, key: str, value: Any, revision: int) -> None:
-        kind, _, rest = key.partition("/")
-        if kind == "j" and value is not None:
-            self.add_job(rest, value)
-        elif kind == "f" and value is not None:
-            self.set_final_status(rest, value)
-        elif kind == "r":
-            if value is None:
-                self.close_round(int(rest))
-            else:
-                self.apply_round(int(rest), value)
-        elif kind == "d":
-            if value is None:
-                self.open_jobs_by_done_record.pop(int(rest), None)
-            else:
-                self.apply_finished_tasks(int(rest), value)
-        elif kind == "s":
-            if value is None:
-                self.machines_by_failing_job.pop(rest, None)
-            else:
-                self.machines_by_failing_job[rest] = value
-        elif kind == "c":
-            if value is None:
-                self.scale_out_records.pop(rest, None)
-            else:
-                self.scale_out_records[rest] = msgspec.convert(value, ScaleOutRecord)
-        elif kind == "x":
+    def _make_key_handlers(self) -> dict[str, _KeyHandler]:
+        return {
+            KeyKind.JOB: _KeyHandler(stored_records.decode_job, self.add_job, _ignore),
+            KeyKind.FINAL_STATUS: _KeyHandler(str, self.set_final_status, _ignore),
+            KeyKind.ROUND: _KeyHandler(
+                stored_records.decode_round,
+                lambda number, record: self.apply_round(int(number), record),
+                lambda number: self.close_round(int(number)),
+            ),
+            KeyKind.FINISHED_TASKS: _KeyHandler(
+                stored_records.decode_finished_tasks,
+                lambda number, record: self.apply_finished_tasks(int(number), record),
+                lambda number: self.open_jobs_by_done_record.pop(int(number), None),
+            ),
+            KeyKind.FAILING_JOB: _KeyHandler(
+                stored_records.decode_machine_names,
+                self.machines_by_failing_job.__setitem__,
+                lambda job_id: self.machines_by_failing_job.pop(job_id, None),
+            ),
+            KeyKind.SCALE_OUT: _KeyHandler(
+                stored_records.decode_scale_out,
+                self.scale_out_records.__setitem__,
+                lambda name: self.scale_out_records.pop(name, None),
+            ),
+            KeyKind.SCALE_IN: _KeyHandler(
+                stored_records.decode_machine_names,
+                self.scale_in_records.__setitem__,
+                lambda name: self.scale_in_records.pop(name, None),
+            ),
+        }
+
+    def on_key(self, key: str, value: StoredValue, revision: int) -> None:
+        """Apply a change of a key; other kinds than those of this state are ignored.
+
+        Args:
+            key: without prefix.
+            value: None: the key was deleted.
+            revision: of the change.
+        """
+        kind, _, name = key.partition("/")
+        handler = self._key_handlers.get(kind)
+        if handler is not None:
             if value is None:
-                self.scale_in_records.pop(rest, None)
+                handler.delete(name)
             else:
-                self.scale_in_records[rest] = value
-        elif kind == "catalog":
+                handler.put(name, handler.decode(value))
+        elif kind == KeyKind.CATALOG:
             self.catalog = value
-        elif kind == "options":
-            self.options = {"values": value or {}, "stamp": revision if value is not None else 0}
+        elif kind == KeyKind.OPTIONS:
+            self.options = StoredOptions(value or {}, 0 if value is None else revision)
 
     # ---- jobs ------------------------------------------------------------------------------
 
-    def add_job(self, job_id: str, value: list[Any]) -> Job:
+    def add_job(self, job_id: str, record: JobRecord) -> Job:
+        """Add an accepted job, or return the one with this id."""
         job = self.jobs_by_id.get(job_id)
         if job is None:
-            job = Job(len(self.jobs), job_id, value, self.names)
+            job = Job(len(self.jobs), job_id, record, self.names)
             self.jobs.append(job)
             self.jobs_by_id[job_id] = job
             self.open_jobs[job.index] = job
-            final = self.early_final_statuses.pop(job_id, None)
-            if final is not None:
-                self.set_final_status(job_id, final)
+            final_status = self._early_final_statuses.pop(job_id, None)
+            if final_status is not None:
+                self.set_final_status(job_id, final_status)
         return job
 
     def set_final_status(self, job_id: str, final_status: str) -> None:
+        """End a job, or note its end until the job is known; the first status remains."""
         job = self.jobs_by_id.get(job_id)
         if job is None:
-            self.early_final_statuses[job_id] = final_status  # keys may be read in any order
+            self._early_final_statuses[job_id] = final_status  # keys may be read in any order
             return
         if job.final_status is None:
             job.final_status = final_status
             self.open_jobs.pop(job.index, None)
             for number in job.done_records:
-                waiting = self.open_jobs_by_done_record.get(number)
-                if waiting is not None:
-                    waiting.discard(job.index)
+                open_jobs = self.open_jobs_by_done_record.get(number)
+                if open_jobs is not None:
+                    open_jobs.discard(job.index)
             if final_status == protocol.JobStatus.DONE:
                 job.done_count = job.task_count
             job.task_states = bytearray()
 
     def mark_task_finished(self, job: Job, task: int) -> None:
+        """Count a task as finished and release its attempt."""
         if job.final_status is None and job.task_states[task] != TASK_FINISHED:
             job.task_states[task] = TASK_FINISHED
             job.done_count += 1
@@ -138,10 +186,11 @@
         job: Job,
         task: int,
         machine: int,
-        session: int,
+        incarnation: int,
         state: OperationState = OperationState.UNKNOWN,
     ) -> Attempt:
-        attempt = Attempt(number, job, task, machine, session, state)
+        """Add an attempt that may be running; it replaces the task's former one."""
+        attempt = Attempt(number, job, task, machine, incarnation, state)
         job.live_attempts[task] = attempt
         if job.final_status is None:
             job.task_states[task] = TASK_LIVE
@@ -151,11 +200,19 @@
             self.usage.remove(replaced)
         there[job.index, task] = attempt
         self.usage.add(attempt)
-        self.attempts_by_round.setdefault(number, set()).add(attempt)
+        of_round = self.attempts_by_round.get(number)
+        if of_round is None:
+            of_round = self.attempts_by_round[number] = set()
+        of_round.add(attempt)
         return attempt
 
     def release(self, attempt: Attempt, done: bool = False) -> None:
-        """The attempt is surely over: its task may be placed again unless it is done."""
+        """Remove an attempt that is certainly not running and will not run.
+
+        Args:
+            attempt: may have been removed before.
+            done: its task has finished; else the task may be placed again.
+        """
         job, task = attempt.job, attempt.task
         if attempt.state is not OperationState.SUPERSEDED and not done:
             transition(attempt, OperationState.SUPERSEDED)
@@ -170,12 +227,16 @@
                 self.usage.remove(attempt)
             if not there:
                 del self.attempts_by_machine[attempt.machine]
-        live = self.attempts_by_round.get(attempt.number)
-        if live is not None:
-            live.discard(attempt)
+        of_round = self.attempts_by_round.get(attempt.number)
+        if of_round is not None:
+            of_round.discard(attempt)
 
     def set_reported_state(self, attempt: Attempt, status: str) -> str:
-        """Its worker says how the attempt stands. Returns how it stood before."""
+        """Note the task state that a worker reports; an exited attempt uses no resources.
+
+        Returns:
+            The state reported before.
+        """
         before, attempt.reported_state = attempt.reported_state, status
         there = self.attempts_by_machine.get(attempt.machine, {})
         if there.get((attempt.job.index, attempt.task)) is attempt:
@@ -185,34 +246,55 @@
                 self.usage.add(attempt)
         return before
 
+    # ---- records of rounds and of finished tasks -------------------------------------------
+
     def apply_round(
         self,
         number: int,
-        value: list[Any],
+        record: RoundRecord,
         state: OperationState = OperationState.UNKNOWN,
         unsent: Collection[tuple[int, int]] = (),
     ) -> list[Attempt]:
-        """The attempts that a round's record makes, in the given state.
+        """Add the attempts of a round's record and note its stops.
 
-        ``unsent``: job and task of starts that are on record and will never be sent.
+        A record that was applied or settled before changes nothing.
+
+        Args:
+            number: of the record.
+            record: its starts and stops.
+            state: of the new attempts.
+            unsent: index of the job and task of recorded starts that will never be sent.
+
+        Returns:
+            The new attempts.
         """
         if number in self.attempts_by_round:
             return []
         self.attempts_by_round[number] = set()
-        made = []
-        for machine, session, jobs in value:
-            if machine == STOP_MARKER:
-                self._apply_stops(number, jobs)
+        return self._apply_entries(number, record, state, unsent)
+
+    def _apply_entries(
+        self,
+        number: int,
+        record: RoundRecord,
+        state: OperationState,
+        unsent: Collection[tuple[int, int]],
+    ) -> list[Attempt]:
+        added = []
+        for entry in record:
+            if entry.machine == STOP_MARKER:
+                self._apply_stops(number, entry.jobs)
                 continue
-            index = self.names.machines.index(machine)
-            for job_id, tasks in jobs:
-                job = self.jobs_by_id.get(job_id)
+            machine, incarnation = self.names.machines.index(entry.machine), entry.incarnation
+            for tasks_of_job in entry.jobs:
+                job = self.jobs_by_id.get(tasks_of_job.job_id)
                 if job is None or job.final_status == protocol.JobStatus.DONE:
                     continue
-                for task in tasks:
-                    if job.final_status is None and job.task_states[task] == TASK_FINISHED:
+                is_open = job.final_status is None
+                for task in tasks_of_job.tasks:
+                    if is_open and job.task_states[task] == TASK_FINISHED:
                         continue
-                    if (job.index, task) in unsent:
+                    if unsent and (job.index, task) in unsent:
                         continue
                     older = job.live_attempts.get(task)
                     if older is not None:
@@ -220,50 +302,60 @@
                         if older.number > number:
                             continue
                         self.release(older)
-                    made.append(self.add_attempt(number, job, task, index, session, state))
-        return made
-
-    def _apply_stops(self, number: int, jobs: list[Any]) -> None:
-        for job_id, tasks in jobs:
-            job = self.jobs_by_id.get(job_id)
-            for task in tasks:
-                attempt = job.live_attempts.get(task) if job is not None else None
+                    added.append(self.add_attempt(number, job, task, machine, incarnation, state))
+        return added
+
+    def _apply_stops(self, number: int, jobs: list[TasksOfJob]) -> None:
+        for tasks_of_job in jobs:
+            job = self.jobs_by_id.get(tasks_of_job.job_id)
+            if job is None:
+                continue
+            for task in tasks_of_job.tasks:
+                attempt = job.live_attempts.get(task)
                 if attempt is not None and attempt.number < number:
-                    attempt.stop_requested_at = 1.0
+                    attempt.stop_requested_at = STOP_TIME_UNKNOWN
 
     def settle_unsent_round(self, number: int) -> None:
-        """A round of which nothing was sent, or which is settled: its record makes no attempts."""
+        """Note that a recorded round has no effect: it was not sent, or all of it has ended."""
         self.close_round(number)
         self.attempts_by_round[number] = set()
 
     def close_round(self, number: int) -> None:
+        """Release all attempts of a round whose record was deleted."""
         for attempt in list(self.attempts_by_round.pop(number, ())):
             self.release(attempt)
 
-    def apply_finished_tasks(self, number: int, value: list[Any]) -> None:
+    def apply_finished_tasks(self, number: int, record: FinishedTasksRecord) -> None:
+        """Mark the tasks of a record as finished; one that was applied before changes nothing."""
         if number in self.open_jobs_by_done_record:
             return
-        waiting = self.open_jobs_by_done_record[number] = set()
-        for job_id, ranges in value:
-            job = self.jobs_by_id.get(job_id)
+        open_jobs = self.open_jobs_by_done_record[number] = set()
+        for finished in record:
+            job = self.jobs_by_id.get(finished.job_id)
             if job is None:
                 continue
             if job.final_status is None:
-                waiting.add(job.index)
+                open_jobs.add(job.index)
                 job.done_records.append(number)
-            for at in range(0, len(ranges), 2):
-                for task in range(ranges[at], ranges[at + 1] + 1):
+            for tasks in finished.task_ranges():
+                for task in tasks:
                     self.mark_task_finished(job, task)
 
-    def recorded_machines(self) -> set[str]:
-        """Those that rentals and returns on record name."""
-        rented = [record.machine_names or () for record in self.scale_out_records.values()]
-        return {name for names in [*rented, *self.scale_in_records.values()] for name in names}
+    # ---- queries ---------------------------------------------------------------------------
 
-    # ---- what may be dropped ---------------------------------------------------------------
+    def recorded_machines(self) -> set[str]:
+        """Names of the machines in scale-out and scale-in requests."""
+        scaled_out = [record.machine_names or () for record in self.scale_out_records.values()]
+        return {name for names in [*scaled_out, *self.scale_in_records.values()] for name in names}
 
     def settled_rounds(self) -> list[int]:
-        return [number for number, live in self.attempts_by_round.items() if not live]
+        """Numbers of the rounds' records that may be deleted: no attempt of theirs is left."""
+        return [number for number, attempts in self.attempts_by_round.items() if not attempts]
 
     def obsolete_done_records(self) -> list[int]:
-        return [number for number, waiting in self.open_jobs_by_done_record.items() if not waiting]
+        """Numbers of the records of finished tasks that may be deleted: all their jobs ended."""
+        return [number for number, jobs in self.open_jobs_by_done_record.items() if not jobs]
+
+
+def _ignore(name: str) -> None:
+    """Ignore the deletion of a job's keys: a job once known stays known."""
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -2,37 +2,43 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
-from typing import Any
+from collections.abc import Iterator
 
 from petrelthread import protocol
-from petrelthread.interner import Interner
+from petrelthread.interner import InternedNames
+from petrelthread.state import stored_records
 from petrelthread.state.operation_state import OperationState
+from petrelthread.state.stored_records import JobRecord
 
-TASK_PENDING, TASK_LIVE, TASK_FINISHED = 0, 1, 2  # states of a task
+# States of a task, as bytes of Job.task_states.
+TASK_PENDING = 0
+TASK_LIVE = 1  # has an attempt that may be running
+TASK_FINISHED = 2
 
-
-class InternedNames:
-    """All interned kinds of names."""
-
-    def __init__(self, teams: Iterable[str] = (), zones: Iterable[str] = ()) -> None:
-        self.teams = Interner()
-        self.zones = Interner()
-        self.machine_types = Interner()
-        self.images = Interner()
-        self.machines = Interner()
-        self.job_classes = Interner()
-        for team in teams:
-            self.teams.index(team)
-        for zone in zones:
-            self.zones.index(zone)
+STOP_TIME_UNKNOWN = 1.0  # seconds; long before the start of any controller's event loop clock
 
 
 class Attempt:
-    """One try to run one task: the round's number, on one machine in one session."""
+    """One attempt to run one task on one machine.
+
+    Attributes:
+        number: record number of the round that started it, and its attempt number at the worker.
+        job: its job.
+        task: index of its task.
+        machine: index of its machine.
+        incarnation: of the worker that was to start it.
+        state: changed only by ``transition``.
+        reported_state: the ``protocol.TaskState`` last reported by the worker; empty before the
+            first report.
+        running_at: event loop time at which it was first seen running; 0 before, and once its
+            checkpoints have been credited to the job.
+        stop_requested_at: event loop time at which it was told to stop; 0 before,
+            ``STOP_TIME_UNKNOWN`` if only the record of the stop is known.
+        proven_stable: a replica that has run long enough to show that its job can run.
+        start_delivered: whether an answer to a heartbeat has carried its start.
+    """
 
     __slots__ = (
-        "claimed_at",
         "incarnation",
         "job",
         "machine",
@@ -47,177 +53,177 @@
     )
 
     def __init__(
-        self, number: int, job: Job, task: int, machine: int, session: int, state: OperationState
+        self,
+        number: int,
+        job: Job,
+        task: int,
+        machine: int,
+        incarnation: int,
+        state: OperationState,
     ) -> None:
         self.number = number
         self.job = job
         self.task = task
         self.machine = machine
-        self.incarnation = session
+        self.incarnation = incarnation
         self.state = state
-        self.reported_state = ""  # as the worker last reported it
-        self.claimed_at = 0.0
+        self.reported_state = ""
         self.running_at = 0.0
         self.stop_requested_at = 0.0
-        self.proven_stable = False  # a replica: it has run long enough to show that its job can
-        self.start_delivered = False  # its start has gone out with the answer to a report
+        self.proven_stable = False
+        self.start_delivered = False
 
     @property
     def has_exited(self) -> bool:
+        """Whether the worker has reported that the task's process is gone."""
         return self.reported_state == protocol.TaskState.EXITED
 
 
-class Job:
-    __slots__ = (
-        "accelerators",
-        "accepted_at",
-        "backoff_s",
-        "checkpoint_interval_s",
-        "checkpointed_s",
-        "cores",
-        "deadline_s",
-        "done_count",
-        "done_records",
-        "estimated_run_s",
-        "failing_tasks",
-        "final_status",
-        "first_start_at",
-        "grace_period_s",
-        "id",
-        "image",
-        "image_size_gb",
-        "index",
-        "is_gang",
-        "is_service",
-        "job_class",
-        "last_start_at",
-        "live_attempts",
-        "machine_types",
-        "preemption_counts",
-        "priority",
-        "ram_gb",
-        "retry_at",
-        "single_zone",
-        "spot_allowed",
-        "spread_zones",
-        "suspect_since",
-        "task_count",
-        "task_states",
-        "team",
-        "zone",
-    )
+# Attributes of a job, by where they come from.
+_DESCRIPTION = (  # the job's record
+    "accelerators",
+    "accepted_at",
+    "checkpoint_interval_s",
+    "cores",
+    "deadline_s",
+    "estimated_run_s",
+    "grace_period_s",
+    "id",
+    "image",
+    "image_size_gb",
+    "index",
+    "is_gang",
+    "is_service",
+    "job_class",
+    "machine_types",
+    "priority",
+    "ram_gb",
+    "single_zone",
+    "spot_allowed",
+    "spread_zones",
+    "task_count",
+    "team",
+    "zone",
+)
+_PROGRESS = (  # records of rounds, of finished tasks and of final states
+    "done_count",
+    "done_records",
+    "final_status",
+    "live_attempts",
+    "task_states",
+)
+_OBSERVED = (  # known only to the controller that leads
+    "backoff_s",
+    "checkpointed_s",
+    "failing_tasks",
+    "last_start_at",
+    "preemption_counts",
+    "retry_at",
+    "suspect_since",
+)
+
 
-    cores: float
-    accelerators: float
-    ram_gb: float
-    image_size_gb: float
-    estimated_run_s: float
-    checkpoint_interval_s: float
-    grace_period_s: float
-    deadline_s: float | None
-    accepted_at: float
-
-    def __init__(self, index: int, job_id: str, value: list[Any], names: InternedNames) -> None:
-        (
-            team,
-            jobclass,
-            rank,
-            tasks,
-            self.cores,
-            self.accelerators,
-            self.ram_gb,
-            image,
-            self.image_size_gb,
-            types,
-            zone,
-            flags,
-            self.estimated_run_s,
-            self.checkpoint_interval_s,
-            self.grace_period_s,
-            self.deadline_s,
-            self.accepted_at,
-        ) = value
+class Job:
+    """One job: its description, its recorded progress, and what the leader observes.
+
+    Attributes of the description have the meaning and units of ``JobRecord``; names are interned.
+    All of them are kept in one object with slots, because placement reads them for every task.
+
+    Attributes:
+        index: position in ``ClusterState.jobs``.
+        final_status: None while the job is open.
+        task_states: one byte for each task: TASK_PENDING, TASK_LIVE or TASK_FINISHED; empty once
+            the job has a final status.
+        live_attempts: by task.
+        done_count: number of finished tasks.
+        done_records: numbers of the records that hold its finished tasks.
+        failing_tasks: tasks whose last attempt failed.
+        suspect_since: event loop time at which it last began to fail everywhere; 0 if never.
+        checkpointed_s: by task: seconds of work that checkpoints have saved.
+        preemption_counts: by task: how often it was preempted.
+        backoff_s: current pause between two attempts.
+        retry_at: event loop time before which it is not placed.
+        last_start_at: wall clock time at which one of its tasks was last placed; 0 before.
+    """
+
+    __slots__ = (*_DESCRIPTION, *_PROGRESS, *_OBSERVED)
+
+    def __init__(self, index: int, job_id: str, record: JobRecord, names: InternedNames) -> None:
         self.index = index
         self.id = job_id
-        self.team = names.teams.index(team)
-        self.job_class = names.job_classes.index(jobclass)
-        self.priority: int = rank
-        self.task_count: int = tasks
-        self.image = names.images.index(image)
-        self.machine_types = (
-            None if types is None else frozenset(names.machine_types.index(t) for t in types)
-        )
-        self.zone = None if zone is None else names.zones.index(zone)
-        self.single_zone = bool(flags & 1)
-        self.spread_zones = bool(flags & 2)
-        self.spot_allowed = bool(flags & 4)
-        self.is_gang = bool(flags & 8)  # all tasks at once or none
-        self.is_service = bool(flags & 16)  # runs until it is cancelled
+        self._describe(record, names)
         self.final_status: str | None = None
-        self.task_states = bytearray(tasks)
+        self.task_states = bytearray(record.task_count)
         self.live_attempts: dict[int, Attempt] = {}
         self.done_count = 0
         self.done_records: list[int] = []
-        # What the leader learns as it goes along:
-        self.failing_tasks: set[int] = set()  # tasks whose last try failed
+        self.failing_tasks: set[int] = set()
         self.suspect_since = 0.0
-        self.checkpointed_s: dict[int, float] = {}  # by task: seconds that checkpoints have saved
-        self.preemption_counts: dict[int, int] = {}  # by task: how often it was stopped for others
+        self.checkpointed_s: dict[int, float] = {}
+        self.preemption_counts: dict[int, int] = {}
         self.backoff_s = 0.0
         self.retry_at = 0.0
-        self.first_start_at = 0.0
-        self.last_start_at = 0.0  # when a task of it was last placed
-
-    @staticmethod
-    def encode(spec: protocol.JobSpec, now: float) -> list[Any]:
-        flags = spec.single_zone | spec.spread_zones << 1 | spec.spot_allowed << 2
-        flags |= (spec.kind == protocol.JobKind.GANG) << 3 | (
-            spec.kind == protocol.JobKind.SERVICE
-        ) << 4
-        return [
-            spec.team,
-            spec.job_class,
-            protocol.PRIORITIES[spec.priority],
-            spec.task_count,
-            spec.cores,
-            spec.accelerators,
-            spec.ram_gb,
-            spec.image,
-            spec.image_size_gb,
-            None if spec.machine_types is None else list(spec.machine_types),
-            spec.zone,
-            flags,
-            spec.estimated_run_s,
-            spec.checkpoint_interval_s,
-            spec.grace_period_s,
-            spec.deadline_s,
-            round(now, 3),
-        ]
+        self.last_start_at = 0.0
+
+    def _describe(self, record: JobRecord, names: InternedNames) -> None:
+        self.team = names.teams.index(record.team)
+        self.job_class = names.job_classes.index(record.job_class)
+        self.priority = record.priority
+        self.task_count = record.task_count
+        self.cores = record.cores
+        self.accelerators = record.accelerators
+        self.ram_gb = record.ram_gb
+        self.image = names.images.index(record.image)
+        self.image_size_gb = record.image_size_gb
+        self.machine_types = (
+            None
+            if record.machine_types is None
+            else frozenset(names.machine_types.index(name) for name in record.machine_types)
+        )
+        self.zone = None if record.zone is None else names.zones.index(record.zone)
+        self.single_zone = bool(record.flags & stored_records.SINGLE_ZONE)
+        self.spread_zones = bool(record.flags & stored_records.SPREAD_ZONES)
+        self.spot_allowed = bool(record.flags & stored_records.SPOT_ALLOWED)
+        self.is_gang = bool(record.flags & stored_records.GANG)
+        self.is_service = bool(record.flags & stored_records.SERVICE)
+        self.estimated_run_s = record.estimated_run_s
+        self.checkpoint_interval_s = record.checkpoint_interval_s
+        self.grace_period_s = record.grace_period_s
+        self.deadline_s = record.deadline_s
+        self.accepted_at = record.accepted_at
 
     def lost_work_s(self, ran_s: float, stopped: bool) -> float:
-        """What a task that ran so long loses when it is stopped, or with its machine."""
+        """Seconds of work lost with a task that has run for ``ran_s``.
+
+        Args:
+            ran_s: seconds.
+            stopped: the task is told to stop and can save a checkpoint; else it ends without
+                notice, as when its machine is lost.
+        """
         if self.checkpoint_interval_s <= 0:
             return ran_s
         return min(ran_s, self.grace_period_s) if stopped else ran_s % self.checkpoint_interval_s
 
     @property
     def pending_count(self) -> int:
+        """Number of tasks that wait for placement."""
         return self.task_count - self.done_count - len(self.live_attempts)
 
     @property
     def status(self) -> str:
+        """A ``protocol.JobStatus``: the final one, else by whether any task has an attempt."""
         if self.final_status is not None:
             return self.final_status
         return protocol.JobStatus.RUNNING if self.live_attempts else protocol.JobStatus.QUEUED
 
     def pending_tasks(self) -> Iterator[int]:
-        """Those that have failed come last: bad tasks must not keep good ones waiting."""
+        """Tasks that wait for placement; those that have failed come last."""
         at = self.task_states.find(TASK_PENDING)
         while at >= 0:
             if at not in self.failing_tasks:
                 yield at
             at = self.task_states.find(TASK_PENDING, at + 1)
-        if self.task_states:  # none once it is over
+        if self.task_states:  # empty once the job has a final status
             yield from sorted(
                 task for task in self.failing_tasks if self.task_states[task] == TASK_PENDING
             )
--- a/petrelthread/state/operation_state.py
+++ b/petrelthread/state/operation_state.py
@@ -1,4 +1,8 @@
-"""The life of an effect: what is known about it, and which steps between those states exist."""
+"""States of an operation with an effect outside the state service, and the steps between them.
+
+Operations are starts of tasks, scale-out requests and scale-in requests. Each is recorded in the
+state service before it is sent, so that a later leader can find out what became of it.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +11,17 @@
 
 
 class OperationState(Enum):
-    AUTHORIZED = "authorized"  # decided, its record not yet surely written
-    DISPATCHING = "dispatching"  # record written, request on its way or about to be
-    UNKNOWN = "unknown"  # reply lost, or a take-over came between
-    CONFIRMED = "confirmed"  # its authority has shown it
-    SUPERSEDED = "superseded"  # its authority has shown that it will never take effect (again)
+    """What this controller knows about an operation's effect."""
+
+    AUTHORIZED = "authorized"  # decided; its record may not be written yet
+    DISPATCHING = "dispatching"  # recorded; the request is being sent
+    UNKNOWN = "unknown"  # the answer was lost, or another leader sent the request
+    CONFIRMED = "confirmed"  # a worker or the cloud has shown the effect
+    SUPERSEDED = "superseded"  # it has ended, or will certainly never take effect
 
 
 class IllegalTransitionError(Exception):
-    pass
+    """An operation was to take a step that does not exist."""
 
 
 TRANSITIONS = {
@@ -26,18 +32,24 @@
         OperationState.SUPERSEDED,
     },
     OperationState.UNKNOWN: {OperationState.CONFIRMED, OperationState.SUPERSEDED},
-    # A confirmed start becomes unknown again when its machine falls silent or a leader changes.
+    # A confirmed start becomes unknown when its machine is unresponsive or the leader changes.
     OperationState.CONFIRMED: {OperationState.UNKNOWN, OperationState.SUPERSEDED},
     OperationState.SUPERSEDED: set(),
 }
 
 
-class Stateful(Protocol):
+class Operation(Protocol):
+    """Anything with an operation state."""
+
     state: OperationState
 
 
-def transition(operation: Stateful, target: OperationState) -> None:
-    """The one place where an operation changes its state."""
+def transition(operation: Operation, target: OperationState) -> None:
+    """Change an operation's state; the only function that does.
+
+    Raises:
+        IllegalTransitionError: there is no such step.
+    """
     if operation.state is target:
         return
     if target not in TRANSITIONS[operation.state]:
--- a/petrelthread/state/usage.py
+++ b/petrelthread/state/usage.py
@@ -1,28 +1,29 @@
-"""What the attempts that may be on machines take there, and of their teams' limits.
+"""Resources that attempts use, by machine and by team.
 
-Kept as running figures: to add them up anew in every round, four times a second over 970 machines,
-took a third of the leader's time. Every change of an attempt that matters passes through
-``ClusterState``.
+The sums are kept up to date with each change of an attempt, because a leader needs them in every
+round and adding up all attempts takes too long. ``ClusterState`` makes all these changes.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
-if TYPE_CHECKING:
-    from petrelthread.state.job import Attempt
+from petrelthread.state.job import Attempt
 
 
 class ResourceUsage(NamedTuple):
+    """The number of attempts and the sum of their resources."""
+
     attempts: int = 0
     cores: float = 0.0
     accelerators: float = 0.0
     ram_gb: float = 0.0
 
     def adjusted(self, attempt: Attempt, by: int) -> ResourceUsage:
+        """The usage with an attempt added (``by`` is 1) or removed (``by`` is -1)."""
         job = attempt.job
         if self.attempts + by == 0:
-            return NO_USAGE  # so that rounding errors do not add up
+            return NO_USAGE  # exactly zero, so that rounding errors do not accumulate
         return ResourceUsage(
             self.attempts + by,
             self.cores + by * job.cores,
@@ -35,10 +36,11 @@
 
 
 class UsageTracker:
-    """Running figures by machine and by team.
+    """Usage by machine and by team; both are given by index.
 
-    ``changed_machines``: those whose figures, or whose standing, have changed since whoever keeps
-    an index of them last took it empty.
+    Attributes:
+        changed_machines: machines whose usage or availability has changed. The keeper of an index
+            by free capacity empties it after each update.
     """
 
     def __init__(self) -> None:
@@ -47,22 +49,26 @@
         self._teams: dict[int, ResourceUsage] = {}
 
     def machine(self, index: int) -> ResourceUsage:
+        """What attempts use on a machine."""
         return self._machines.get(index, NO_USAGE)
 
     def team(self, index: int) -> ResourceUsage:
+        """What a team's attempts use on all machines."""
         return self._teams.get(index, NO_USAGE)
 
     def add(self, attempt: Attempt) -> None:
+        """Count an attempt that is not counted yet."""
         self._change(attempt, 1)
 
     def remove(self, attempt: Attempt) -> None:
+        """Stop counting an attempt that is counted."""
         self._change(attempt, -1)
 
     def _change(self, attempt: Attempt, by: int) -> None:
         self.changed_machines.add(attempt.machine)
-        for figures, index in ((self._machines, attempt.machine), (self._teams, attempt.job.team)):
-            taken = figures.get(index, NO_USAGE).adjusted(attempt, by)
-            if taken is NO_USAGE:
-                figures.pop(index, None)
+        for usages, index in ((self._machines, attempt.machine), (self._teams, attempt.job.team)):
+            usage = usages.get(index, NO_USAGE).adjusted(attempt, by)
+            if usage is NO_USAGE:
+                usages.pop(index, None)
             else:
-                figures[index] = taken
+                usages[index] = usage
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -380,7 +380,7 @@
         await world.running(2)
         node = world.nodes[await world.led()]
         found = node.cluster_state.jobs_by_id["wk-000001"]
-        node.cluster_state.apply_finished_tasks(1, [["wk-000001", [0, 1]]])
+        node.cluster_state.on_key("d/1", [["wk-000001", [0, 1]]], 1)
         world.judge.completed |= {"wk-000001/0", "wk-000001/1"}
         node.fleet.finished_tasks[found.index] = {0, 1}
         node.scheduler.wake.set()
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -14,7 +14,14 @@
 import orjson
 
 from petrelthread.peers import PeerHeartbeat
-from petrelthread.state import ClusterState, InternedNames, pack_finished_tasks, pack_round_records
+from petrelthread.state import (
+    ClusterState,
+    InternedNames,
+    Placement,
+    encode,
+    pack_finished_tasks,
+    pack_round_records,
+)
 from tests.virtual import play
 from tests.world import World, job
 
@@ -108,10 +115,15 @@
 
 
 def test_records_are_packed_as_before() -> None:
-    entries = [("host-2", 1, "wk-1", 3), ("host-1", 2, "wk-1", 0), ("host-1", 2, "wk-1", 1)]
+    entries = [
+        Placement("host-2", 1, "wk-1", 3),
+        Placement("host-1", 2, "wk-1", 0),
+        Placement("host-1", 2, "wk-1", 1),
+    ]
     [record] = pack_round_records(entries, 2000)
-    assert record == [["host-1", 2, [["wk-1", [0, 1]]]], ["host-2", 1, [["wk-1", [3]]]]]
-    assert pack_finished_tasks({"wk-1": [0, 1, 2, 7]}, 2000) == ([["wk-1", [0, 2, 7, 7]]], {})
+    assert encode(record) == [["host-1", 2, [["wk-1", [0, 1]]]], ["host-2", 1, [["wk-1", [3]]]]]
+    finished, rest = pack_finished_tasks({"wk-1": [0, 1, 2, 7]}, 2000)
+    assert (encode(finished), rest) == ([["wk-1", [0, 2, 7, 7]]], {})
 
 
 def test_greetings_of_both_versions_are_understood() -> None:
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -11,7 +11,7 @@
 from petrelthread.benchmark.populated import PopulatedLeader
 from petrelthread.emulator.state_service import StateService
 from petrelthread.http import ClientResponse
-from petrelthread.state import ClusterState, InternedNames, epoch_base_number
+from petrelthread.state import ClusterState, InternedNames, encode, epoch_base_number
 from petrelthread.store import KEY_PREFIX, StateClient, TokenBucket, WatchCache
 
 MACHINES = 4000
@@ -35,7 +35,7 @@
             assert claim.rounds and len(claim.operations) <= state.txn_ops
             for operation in claim.operations:
                 value = getattr(operation, "value", None)
-                assert len(orjson.dumps(value)) <= state.value_kb * 1024
+                assert len(orjson.dumps(encode(value))) <= state.value_kb * 1024
             conditions = [protocol.Condition(key, 0) for key in claim.absent_keys]
             assert len(conditions) + 3 <= 4 * state.txn_ops
             assert (
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -29,10 +29,14 @@
     ClusterState,
     InternedNames,
     Job,
+    JobRecord,
+    Placement,
+    encode,
     epoch_of,
     pack_finished_tasks,
     pack_round_records,
 )
+from petrelthread.state.stored_records import decode_job
 from petrelthread.store import (
     LeaseExpiredError,
     StateClient,
@@ -68,10 +72,12 @@
 @pytest.mark.parametrize("case", cases("stored_keys", "submissions"))
 def test_description_as_stored(case: str) -> None:
     spec = protocol.parse_job(orjson.dumps(given("stored_keys", "submissions", case)))
-    stored = Job.encode(spec, NOW)
+    record = JobRecord.from_spec(spec, NOW)
+    stored = encode(record)
     expect("stored_keys", "submissions", case, stored)
+    assert decode_job(stored) == record
     names = InternedNames()
-    job = Job(0, spec.job_id, stored, names)
+    job = Job(0, spec.job_id, decode_job(stored), names)
     types = (
         None
         if job.machine_types is None
@@ -140,14 +146,14 @@
         "stored_keys",
         "rounds",
         case,
-        pack_round_records([tuple(entry) for entry in placements], limit),
+        encode(pack_round_records([Placement(*entry) for entry in placements], limit)),
     )
 
 
 @pytest.mark.parametrize("case", cases("stored_keys", "finished tasks"))
 def test_finished_tasks_as_stored(case: str) -> None:
     done, limit = given("stored_keys", "finished tasks", case)
-    expect("stored_keys", "finished tasks", case, pack_finished_tasks(done, limit))
+    expect("stored_keys", "finished tasks", case, encode(pack_finished_tasks(done, limit)))
 
 
 def test_lead_and_epoch_as_stored() -> None:
