--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -9,11 +9,9 @@
 from enum import Enum
 from typing import Any
 
-import msgspec
-
 from petrelthread import protocol
 from petrelthread.leadership.fence import Fence
-from petrelthread.state import LeaderRecord
+from petrelthread.state import LeaderRecord, decode_leader
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
@@ -162,7 +160,7 @@
             self._stored_epoch, self._stored_epoch_revision = int(value), revision
             self.highest_known_epoch = max(self.highest_known_epoch, int(value))
         elif key == "lead":
-            leader = None if value is None else msgspec.convert(value, LeaderRecord)
+            leader = None if value is None else decode_leader(value)
             self.leader = leader
             ours = leader is not None and leader.nonce == self._nonce
             if self.role in ACTIVE_ROLES and not ours and revision > self._fence_revision:
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -12,15 +12,9 @@
 from petrelthread import protocol
 from petrelthread.interner import InternedNames
 from petrelthread.state import stored_records
-from petrelthread.state.job import (
-    STOP_TIME_UNKNOWN,
-    TASK_FINISHED,
-    TASK_LIVE,
-    TASK_PENDING,
-    Attempt,
-    Job,
-)
-from petrelthread.state.operation_state import OperationState, transition
+from petrelthread.state.attempt_table import AttemptTable
+from petrelthread.state.job import STOP_TIME_UNKNOWN, TASK_FINISHED, Attempt, Job
+from petrelthread.state.operation_state import OperationState
 from petrelthread.state.stored_records import (
     STOP_MARKER,
     FinishedTasksRecord,
@@ -32,7 +26,6 @@
     StoredValue,
     TasksOfJob,
 )
-from petrelthread.state.usage import UsageTracker
 
 
 class _KeyHandler(NamedTuple):
@@ -43,7 +36,7 @@
     delete: Callable[[str], object]
 
 
-class ClusterState:
+class ClusterState(AttemptTable):
     """Jobs, attempts and requests to the cloud, as recorded in the state service.
 
     ``on_key`` takes each change of a key. The leader also applies its own claims, by the methods
@@ -54,31 +47,24 @@
         jobs: all jobs, by index.
         jobs_by_id: all jobs, by id.
         open_jobs: jobs without a final status, by index.
-        attempts_by_machine: attempts that may be running, by machine, and by index of the job and
-            task; machines without attempts are absent.
-        attempts_by_round: attempts that may be running, by number of the round's record, for all
-            records that exist.
         open_jobs_by_done_record: for each record of finished tasks, the open jobs that need it.
         machines_by_failing_job: names of machines where a job failed that fails everywhere, by id.
         scale_out_records: by name of the request.
         scale_in_records: names of the machines to return, by name of the request.
-        usage: resources of the attempts that may be running.
         catalog: stored value of the machine types; None if there is none.
         options: settings that operators changed.
     """
 
     def __init__(self, names: InternedNames) -> None:
+        super().__init__()
         self.names = names
         self.jobs: list[Job] = []
         self.jobs_by_id: dict[str, Job] = {}
         self.open_jobs: dict[int, Job] = {}
-        self.attempts_by_machine: dict[int, dict[tuple[int, int], Attempt]] = {}
-        self.attempts_by_round: dict[int, set[Attempt]] = {}
         self.open_jobs_by_done_record: dict[int, set[int]] = {}
         self.machines_by_failing_job: dict[str, list[str]] = {}
         self.scale_out_records: dict[str, ScaleOutRecord] = {}
         self.scale_in_records: dict[str, list[str]] = {}
-        self.usage = UsageTracker()
         self.catalog: StoredValue = None
         self.options = StoredOptions({}, 0)
         self._early_final_statuses: dict[str, str] = {}  # of jobs that are not known yet
@@ -178,74 +164,6 @@
         if attempt is not None:
             self.release(attempt, done=True)
 
-    # ---- attempts --------------------------------------------------------------------------
-
-    def add_attempt(
-        self,
-        number: int,
-        job: Job,
-        task: int,
-        machine: int,
-        incarnation: int,
-        state: OperationState = OperationState.UNKNOWN,
-    ) -> Attempt:
-        """Add an attempt that may be running; it replaces the task's former one."""
-        attempt = Attempt(number, job, task, machine, incarnation, state)
-        job.live_attempts[task] = attempt
-        if job.final_status is None:
-            job.task_states[task] = TASK_LIVE
-        there = self.attempts_by_machine.setdefault(machine, {})
-        replaced = there.get((job.index, task))
-        if replaced is not None and not replaced.has_exited:
-            self.usage.remove(replaced)
-        there[job.index, task] = attempt
-        self.usage.add(attempt)
-        of_round = self.attempts_by_round.get(number)
-        if of_round is None:
-            of_round = self.attempts_by_round[number] = set()
-        of_round.add(attempt)
-        return attempt
-
-    def release(self, attempt: Attempt, done: bool = False) -> None:
-        """Remove an attempt that is certainly not running and will not run.
-
-        Args:
-            attempt: may have been removed before.
-            done: its task has finished; else the task may be placed again.
-        """
-        job, task = attempt.job, attempt.task
-        if attempt.state is not OperationState.SUPERSEDED and not done:
-            transition(attempt, OperationState.SUPERSEDED)
-        if job.live_attempts.get(task) is attempt:
-            del job.live_attempts[task]
-            if job.final_status is None and job.task_states[task] == TASK_LIVE:
-                job.task_states[task] = TASK_PENDING
-        there = self.attempts_by_machine.get(attempt.machine)
-        if there is not None and there.get((job.index, task)) is attempt:
-            del there[job.index, task]
-            if not attempt.has_exited:
-                self.usage.remove(attempt)
-            if not there:
-                del self.attempts_by_machine[attempt.machine]
-        of_round = self.attempts_by_round.get(attempt.number)
-        if of_round is not None:
-            of_round.discard(attempt)
-
-    def set_reported_state(self, attempt: Attempt, status: str) -> str:
-        """Note the task state that a worker reports; an exited attempt uses no resources.
-
-        Returns:
-            The state reported before.
-        """
-        before, attempt.reported_state = attempt.reported_state, status
-        there = self.attempts_by_machine.get(attempt.machine, {})
-        if there.get((attempt.job.index, attempt.task)) is attempt:
-            if status == protocol.TaskState.EXITED and before != protocol.TaskState.EXITED:
-                self.usage.remove(attempt)
-            elif before == protocol.TaskState.EXITED and status != protocol.TaskState.EXITED:
-                self.usage.add(attempt)
-        return before
-
     # ---- records of rounds and of finished tasks -------------------------------------------
 
     def apply_round(
@@ -315,16 +233,6 @@
                 if attempt is not None and attempt.number < number:
                     attempt.stop_requested_at = STOP_TIME_UNKNOWN
 
-    def settle_unsent_round(self, number: int) -> None:
-        """Note that a recorded round has no effect: it was not sent, or all of it has ended."""
-        self.close_round(number)
-        self.attempts_by_round[number] = set()
-
-    def close_round(self, number: int) -> None:
-        """Release all attempts of a round whose record was deleted."""
-        for attempt in list(self.attempts_by_round.pop(number, ())):
-            self.release(attempt)
-
     def apply_finished_tasks(self, number: int, record: FinishedTasksRecord) -> None:
         """Mark the tasks of a record as finished; one that was applied before changes nothing."""
         if number in self.open_jobs_by_done_record:
@@ -348,10 +256,6 @@
         scaled_out = [record.machine_names or () for record in self.scale_out_records.values()]
         return {name for names in [*scaled_out, *self.scale_in_records.values()] for name in names}
 
-    def settled_rounds(self) -> list[int]:
-        """Numbers of the rounds' records that may be deleted: no attempt of theirs is left."""
-        return [number for number, attempts in self.attempts_by_round.items() if not attempts]
-
     def obsolete_done_records(self) -> list[int]:
         """Numbers of the records of finished tasks that may be deleted: all their jobs ended."""
         return [number for number, jobs in self.open_jobs_by_done_record.items() if not jobs]
--- a/petrelthread/state/stored_records.py
+++ b/petrelthread/state/stored_records.py
@@ -196,3 +196,8 @@
 def decode_scale_out(value: StoredValue) -> ScaleOutRecord:
     """Read a scale-out request."""
     return msgspec.convert(value, ScaleOutRecord)
+
+
+def decode_leader(value: StoredValue) -> LeaderRecord:
+    """Read who leads."""
+    return msgspec.convert(value, LeaderRecord)
--- a/petrelthread/state/test_stored_records.py
+++ b/petrelthread/state/test_stored_records.py
@@ -12,6 +12,7 @@
     StoredValue,
     decode_finished_tasks,
     decode_job,
+    decode_leader,
     decode_machine_names,
     decode_round,
     decode_scale_out,
@@ -30,6 +31,9 @@
         pytest.param(decode_job, JOB, id="job"),
         pytest.param(decode_round, ROUND, id="round"),
         pytest.param(decode_finished_tasks, [["wk-1", [0, 1, 3, 3]]], id="finished tasks"),
+        pytest.param(
+            decode_leader, {"node": "n1", "nonce": "n1-7", "epoch": 3, "lease": 9}, id="leader"
+        ),
         pytest.param(decode_machine_names, ["host-1", "host-2"], id="machine names"),
         pytest.param(
             decode_scale_out,
--- a/petrelthread/state/usage.py
+++ b/petrelthread/state/usage.py
@@ -1,7 +1,7 @@
 """Resources that attempts use, by machine and by team.
 
 The sums are kept up to date with each change of an attempt, because a leader needs them in every
-round and adding up all attempts takes too long. ``ClusterState`` makes all these changes.
+round and adding up all attempts takes too long. ``AttemptTable`` makes all these changes.
 """
 
 from __future__ import annotations
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -31,12 +31,12 @@
     Job,
     JobRecord,
     Placement,
+    decode_job,
     encode,
     epoch_of,
     pack_finished_tasks,
     pack_round_records,
 )
-from petrelthread.state.stored_records import decode_job
 from petrelthread.store import (
     LeaseExpiredError,
     StateClient,
