--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -25,12 +25,14 @@
 from petrelthread.scheduling.start_validator import Start, StartValidator
 from petrelthread.settings import Settings
 from petrelthread.state import (
-    FINISHED,
     RECORDS_PER_EPOCH,
+    TASK_FINISHED,
     Attempt,
     ClusterState,
+    FinishedTasksRecord,
     Job,
     OperationState,
+    decode_round,
     epoch_base_number,
 )
 
@@ -291,7 +293,8 @@
     def _apply_given_up(self, number: int, record: Any, outcome: ClaimOutcome) -> None:
         """The round counts although its claim was given up, so nothing of it was sent."""
         if outcome is ClaimOutcome.FENCED:
-            self._cluster_state.apply_round(number, record)  # as any controller takes it
+            # As any other controller takes it.
+            self._cluster_state.apply_round(number, decode_round(record))
         else:
             self._cluster_state.settle_unsent_round(number)
 
@@ -308,7 +311,7 @@
         for job in claim.completed:
             self._complete(job)
         if claim.done_number:
-            self._cluster_state.apply_done(claim.done_number, claim.done_record)
+            self._cluster_state.apply_finished_tasks(claim.done_number, claim.done_record)
             self._forget_finished(claim.done_record)
         unsent = self._no_longer_allowed(claim)
         launched: list[Attempt] = []
@@ -317,7 +320,6 @@
                 number, record, OperationState.DISPATCHING, unsent
             )
         for attempt in launched:
-            attempt.claimed_at = now
             attempt.job.last_start_at = time.time()
             self._start_log.write(attempt)
         stopped = [attempt for attempt in claim.stops if attempt.stop_requested_at]
@@ -343,7 +345,7 @@
         self._fleet.finished_tasks.pop(job.index, None)
         for attempt in list(job.live_attempts.values()):
             self._cluster_state.release(attempt, done=True)
-        self._cluster_state.finish(job.id, protocol.JobStatus.DONE)
+        self._cluster_state.set_final_status(job.id, protocol.JobStatus.DONE)
         log.debug(
             "done %s (%s of %s): %d tasks, %.1f s after it was accepted, %.1f s at best",
             job.id,
@@ -365,16 +367,16 @@
         elif key in self.obsolete_keys:
             self.obsolete_keys.remove(key)
 
-    def _forget_finished(self, record: list[Any]) -> None:
-        for job_id, _ in record:
-            job = self._cluster_state.jobs_by_id[job_id]
+    def _forget_finished(self, record: FinishedTasksRecord) -> None:
+        for finished in record:
+            job = self._cluster_state.jobs_by_id[finished.job_id]
             tasks = self._fleet.finished_tasks.get(job.index)
             if tasks is None:
                 continue
             left = {
                 task
                 for task in tasks
-                if job.final_status is None and job.task_states[task] != FINISHED
+                if job.final_status is None and job.task_states[task] != TASK_FINISHED
             }
             if left:
                 self._fleet.finished_tasks[job.index] = left
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -91,7 +91,7 @@
 
         def meanwhile() -> None:
             lost.transition(Health.UNRESPONSIVE)
-            cluster.cluster_state.finish("wk-000002", protocol.JobStatus.CANCELLED)
+            cluster.cluster_state.set_final_status("wk-000002", protocol.JobStatus.CANCELLED)
 
         cluster.claims.meanwhile = meanwhile
         await cluster.scheduler.run_round(now())
@@ -127,7 +127,10 @@
         assert recorded == {"wk-000001": 9}
         assert claim.more
         in_records = sum(
-            len(tasks) for _, record in claim.rounds for _, _, jobs in record for _, tasks in jobs
+            len(tasks_of_job.tasks)
+            for _, record in claim.rounds
+            for entry in record
+            for tasks_of_job in entry.jobs
         )
         assert in_records == 9
 
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -9,7 +9,7 @@
 from petrelthread.fleet import Health, Machine
 from petrelthread.scheduling.start_validator import Start, Violation
 from petrelthread.scheduling.test_scheduler import EPOCH, Cluster, run
-from petrelthread.state import Job
+from petrelthread.state import Job, encode
 from tests.world import job
 
 pytestmark = pytest.mark.refused_starts_expected
@@ -114,7 +114,7 @@
     def scenario(cluster: Cluster) -> None:
         case = Case(cluster)
         case.live(0, case.machines[A])
-        cluster.cluster_state.mark_done(case.job, 1)
+        cluster.cluster_state.mark_task_finished(case.job, 1)
         cluster.fleet.finished_tasks[case.job.index] = {2}
         assert case.refused((0, A), (1, A), (2, A), (3, A), (3, B)) == [
             (0, Violation.NOT_PENDING),
@@ -124,7 +124,7 @@
         ]
         case.machines[B].transition(Health.UNRESPONSIVE)
         assert case.refused((3, B)) == [(3, Violation.MACHINE)]
-        cluster.cluster_state.finish("wk-000001", "aborted")
+        cluster.cluster_state.set_final_status("wk-000001", "aborted")
         assert case.refused((3, A)) == [(3, Violation.JOB_OVER)]
 
     run(scenario)
@@ -148,7 +148,7 @@
         case = Case(cluster, same_place=True)
         decided = [Start(case.job, 0, case.machines[A]), Start(case.job, 1, case.machines[B])]
         claim = cluster.builder.build(decided, [], 0.0)
-        assert [record for _, record in claim.rounds] == [
+        assert [encode(record) for _, record in claim.rounds] == [
             [["host-000001", 1, [["wk-000001", [0]]]]]
         ]
 
