--- a/petrelthread/admin/setting_definitions.py
+++ b/petrelthread/admin/setting_definitions.py
@@ -11,6 +11,8 @@
 
 
 class SettingDefinition(NamedTuple):
+    """Default and range of one setting, and what it does."""
+
     default: float
     minimum: float
     maximum: float
@@ -58,6 +60,11 @@
 
 
 def validate_setting(name: str, value: Any) -> float:
+    """The value as a number.
+
+    Raises:
+        InvalidSettingError: the setting is unknown, or the value is no number in its range.
+    """
     definition = SETTING_DEFINITIONS.get(name)
     if definition is None:
         raise InvalidSettingError(
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -327,7 +327,7 @@
         )
         self.scheduler.wake.set()
 
-    def _on_process_resumed(self, pause_s: float, now: float) -> None:
+    def _on_process_resumed(self, _pause_s: float, now: float) -> None:
         """What was known before the pause is older than it looks."""
         self.election.on_process_resumed()
         self.fleet.resumed_at = now
--- a/petrelthread/controller/write_rates.py
+++ b/petrelthread/controller/write_rates.py
@@ -85,7 +85,9 @@
         return amount
 
     def _may_borrow(self, now: float) -> bool:
-        """A follower always may: early users all reach the controllers that are up first. A leader
+        """Whether siblings may be asked for writes.
+
+        A follower always may: early users all reach the controllers that are up first. A leader may
         only while the service's bursts are not spent, since its writes would be refused, and with
         them submissions.
         """
