--- a/petrelthread/http/client.py
+++ b/petrelthread/http/client.py
@@ -18,9 +18,9 @@
 class NoResponseError(Exception):
     """No usable answer came. ``sent`` is False only if the request surely never left."""
 
-    def __init__(self, reason: str, sent: bool) -> None:
+    def __init__(self, reason: str, request_sent: bool) -> None:
         super().__init__(reason)
-        self.request_sent = sent
+        self.request_sent = request_sent
 
 
 class ClientResponse(NamedTuple):
@@ -74,11 +74,11 @@
     the others at work waits within its own time limit.
     """
 
-    def __init__(self, sockets: int = DEFAULT_MAX_SOCKETS) -> None:
+    def __init__(self, max_sockets: int = DEFAULT_MAX_SOCKETS) -> None:
         self._idle: dict[str, list[_Connection]] = {}
-        self._kept_most = sockets // 2
+        self._kept_most = max_sockets // 2
         self._kept = 0
-        self.max_concurrent = max(1, sockets - self._kept_most)
+        self.max_concurrent = max(1, max_sockets - self._kept_most)
         self._room = asyncio.Semaphore(self.max_concurrent)
 
     async def request(
--- a/petrelthread/http/load_shedder.py
+++ b/petrelthread/http/load_shedder.py
@@ -50,11 +50,11 @@
     """One for each event loop."""
 
     def __init__(
-        self, clock: Callable[[], float] | None = None, spell_s: float = TIME_SLICE_S
+        self, clock: Callable[[], float] | None = None, time_slice_s: float = TIME_SLICE_S
     ) -> None:
         """``clock``: seconds, for tests; the event loop's by default."""
         self._clock = clock
-        self._spell_s = spell_s
+        self._spell_s = time_slice_s
         self._queues: dict[RequestSource, deque[_Waiting]] = {
             kind: deque() for kind in RequestSource
         }
@@ -76,13 +76,13 @@
     def _now(self) -> float:
         return self._clock() if self._clock else asyncio.get_running_loop().time()
 
-    async def admit(self, kind: RequestSource) -> Admission:
+    async def admit(self, source: RequestSource) -> Admission:
         """Return once it is known whether the request is served: at once unless the loop has much
         to do, and after ``WAIT_MOST_S`` at the latest while the loop runs on time."""
         if not self.waiting and self._has_capacity():
             return Admission.IMMEDIATE
         future: asyncio.Future[Admission] = asyncio.get_running_loop().create_future()
-        self._queues[kind].append(_Waiting(future, self._now()))
+        self._queues[source].append(_Waiting(future, self._now()))
         self.delayed += 1
         return await future
 
--- a/petrelthread/http/server.py
+++ b/petrelthread/http/server.py
@@ -90,16 +90,16 @@
     def __init__(
         self,
         handler: Handler,
-        room: int,
-        stale_s: float = DEFAULT_STALE_AFTER_S,
-        gate: LoadShedder | None = None,
+        max_connections: int,
+        stale_after_s: float = DEFAULT_STALE_AFTER_S,
+        load_shedder: LoadShedder | None = None,
     ) -> None:
         """``gate``: what keeps each turn of the event loop short; one of its own by default."""
         self._handler = handler
-        self._load_shedder = gate or LoadShedder()
-        self._room = room
-        self._kept = max(1, room - max(1, room // 10))
-        self._stale_s = stale_s
+        self._load_shedder = load_shedder or LoadShedder()
+        self._room = max_connections
+        self._kept = max(1, max_connections - max(1, max_connections // 10))
+        self._stale_s = stale_after_s
         self._open = 0
         # Waiting for a request, the longest first, and since when.
         self._waiting: dict[asyncio.StreamWriter, float] = {}
--- a/petrelthread/http/test_load_shedder.py
+++ b/petrelthread/http/test_load_shedder.py
@@ -133,7 +133,7 @@
 class FullGate(LoadShedder):
     """One at which everything has waited too long."""
 
-    async def admit(self, kind: RequestSource) -> Admission:
+    async def admit(self, source: RequestSource) -> Admission:
         return Admission.SHED
 
 
@@ -144,7 +144,7 @@
         return json_response(200, {})
 
     async def main() -> None:
-        server = Server(fine, 20, gate=FullGate())
+        server = Server(fine, 20, load_shedder=FullGate())
         listening = await server.listen("127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
 
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -43,17 +43,17 @@
         self,
         siblings: tuple[Sibling, ...],
         request: Request,
-        mine: Callable[[], PeerHeartbeat],
+        own_heartbeat: Callable[[], PeerHeartbeat],
         on_heartbeat: Callable[[PeerHeartbeat], None],
         lend: Callable[[PeerHeartbeat], float] = lambda heartbeat: 0.0,
-        took: Callable[[str, float, float], None] = lambda lender, amount, asked_at: None,
+        record_loan: Callable[[str, float, float], None] = lambda lender, amount, asked_at: None,
     ) -> None:
         self._siblings = siblings
         self._request = request
-        self._own_heartbeat = mine
+        self._own_heartbeat = own_heartbeat
         self._on_heartbeat = on_heartbeat
         self._lend = lend
-        self._record_loan = took
+        self._record_loan = record_loan
         self.last_received: dict[str, ReceivedHeartbeat] = {}
         self.wake = asyncio.Event()
 
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -15,7 +15,7 @@
 
 
 async def nobody(*args: Any, **kwargs: Any) -> ClientResponse:
-    raise NoResponseError("refused", sent=False)
+    raise NoResponseError("refused", request_sent=False)
 
 
 def heartbeats(heard: list[PeerHeartbeat], request: Any = nobody) -> PeerMonitor:
--- a/petrelthread/store/test_client.py
+++ b/petrelthread/store/test_client.py
@@ -30,8 +30,12 @@
 @pytest.mark.parametrize(
     ("outcome", "error"),
     [
-        pytest.param(NoResponseError("refused", sent=False), StateUnavailableError, id="not sent"),
-        pytest.param(NoResponseError("timeout", sent=True), StateResultUnknownError, id="timeout"),
+        pytest.param(
+            NoResponseError("refused", request_sent=False), StateUnavailableError, id="not sent"
+        ),
+        pytest.param(
+            NoResponseError("timeout", request_sent=True), StateResultUnknownError, id="timeout"
+        ),
         pytest.param(ClientResponse(429, b""), StateUnavailableError, id="429"),
         pytest.param(ClientResponse(503, b"{}"), StateUnavailableError, id="503"),
         pytest.param(ClientResponse(500, b""), StateResultUnknownError, id="500"),
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -360,7 +360,7 @@
             requester.request,
             lambda: PeerHeartbeat("n0", 7, False, True, 3, "a", 2.5),
             lambda heartbeat: None,
-            took=lambda lender, amount, asked_at: lent.append([lender, amount]),
+            record_loan=lambda lender, amount, asked_at: lent.append([lender, amount]),
         )
         running = asyncio.ensure_future(greetings.run())
         await asyncio.sleep(0.5)
