--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -11,8 +11,7 @@
 from petrelthread.admin import views
 from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.admin.settings_api import SettingsApi
-from petrelthread.http import NoResponseError, Response, json_response
-from petrelthread.http.server import error_response
+from petrelthread.http import NoResponseError, Response, error_response, json_response
 from petrelthread.store import Request
 
 log = logging.getLogger(__name__)
--- a/petrelthread/admin/settings_api.py
+++ b/petrelthread/admin/settings_api.py
@@ -14,8 +14,7 @@
     validate_setting,
     with_defaults,
 )
-from petrelthread.http import Response, json_response
-from petrelthread.http.server import error_response
+from petrelthread.http import Response, error_response, json_response
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
--- a/petrelthread/controller/routes.py
+++ b/petrelthread/controller/routes.py
@@ -8,12 +8,10 @@
 from petrelthread import protocol
 from petrelthread.admin import ADMIN_PREFIX, Admin
 from petrelthread.fleet import HeartbeatHandler
-from petrelthread.http import Response, json_response
-from petrelthread.http.server import error_response
+from petrelthread.http import Response, error_response, json_response
 from petrelthread.job_api import JobApi
 from petrelthread.pause_detector import PauseDetector
-from petrelthread.peers import PeerMonitor
-from petrelthread.peers.peer_monitor import PEER_HEARTBEAT_PATH
+from petrelthread.peers import PEER_HEARTBEAT_PATH, PeerMonitor
 from petrelthread.store import WatchCache
 
 READY_STATE_AGE_S = 3.0  # without news of the state service for longer, siblings serve better
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -9,8 +9,7 @@
 from petrelthread import protocol
 from petrelthread.fleet.command_planner import CommandPlanner
 from petrelthread.fleet.registry import Fleet
-from petrelthread.http import Response, json_response
-from petrelthread.http.server import error_response
+from petrelthread.http import Response, error_response, json_response
 from petrelthread.leadership import Election, Role
 
 log = logging.getLogger(__name__)
--- a/petrelthread/http/__init__.py
+++ b/petrelthread/http/__init__.py
@@ -1,9 +1,11 @@
-"""HTTP/1.1 over asyncio streams, spoken with h11."""
+"""HTTP/1.1 over asyncio streams, spoken with h11: client, server and limits of their load."""
 
-from petrelthread.http.client import Client, ClientResponse, NoResponseError
+from petrelthread.http.client import Client, NoResponseError
+from petrelthread.http.client_connection import ClientResponse
 from petrelthread.http.load_shedder import LoadShedder
-from petrelthread.http.server import Response, Server, json_response
-from petrelthread.http.sockets import SocketBudget, divide_sockets
+from petrelthread.http.responses import Response, error_response, json_response
+from petrelthread.http.server import Server
+from petrelthread.http.socket_budget import SocketBudget, divide_sockets
 
 __all__ = [
     "Client",
@@ -14,5 +16,6 @@
     "Server",
     "SocketBudget",
     "divide_sockets",
+    "error_response",
     "json_response",
 ]
--- a/petrelthread/http/client.py
+++ b/petrelthread/http/client.py
@@ -1,150 +1,133 @@
-"""The asking side: kept-alive connections, one request at a time on each, a hard time limit."""
+"""HTTP client: keep-alive connections, one request at a time on each, hard timeouts."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any, NamedTuple
 
 import h11
 import orjson
 
+from petrelthread.http.client_connection import ClientConnection, ClientResponse
 from petrelthread.settings import split_addr
 
 MAX_IDLE_PER_ADDRESS = 4
 IDLE_TIMEOUT_S = 30.0
 DEFAULT_MAX_SOCKETS = 64
+DEFAULT_TIMEOUT_S = 2.0
 
 
 class NoResponseError(Exception):
-    """No usable answer came. ``sent`` is False only if the request surely never left."""
+    """No usable response came.
+
+    ``request_sent`` is False only if the request certainly never left this process; otherwise the
+    receiver may have carried it out, or may still do so.
+    """
 
     def __init__(self, reason: str, request_sent: bool) -> None:
         super().__init__(reason)
         self.request_sent = request_sent
 
 
-class ClientResponse(NamedTuple):
-    status: int
-    body: bytes
-
-
-class _Connection:
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader = reader
-        self.writer = writer
-        self.h11 = h11.Connection(h11.CLIENT)
-        self.idle_since = 0.0
-
-    async def exchange(
-        self, method: str, target: str, host: str, body: bytes | None
-    ) -> ClientResponse:
-        headers = [("Host", host), ("Content-Length", str(len(body or b"")))]
-        if body:
-            headers.append(("Content-Type", "application/json"))
-        conn = self.h11
-        data = conn.send(h11.Request(method=method, target=target, headers=headers)) or b""
-        if body:
-            data += conn.send(h11.Data(data=body)) or b""
-        data += conn.send(h11.EndOfMessage()) or b""
-        self.writer.write(data)
-        await self.writer.drain()
-        status = 0
-        parts: list[bytes] = []
-        while True:
-            event = conn.next_event()
-            if event is h11.NEED_DATA:
-                conn.receive_data(await self.reader.read(65536))
-            elif isinstance(event, h11.Response):
-                status = event.status_code
-            elif isinstance(event, h11.Data):
-                parts.append(bytes(event.data))
-            elif isinstance(event, h11.EndOfMessage):
-                return ClientResponse(status, b"".join(parts))
-            elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionError("closed before the response")
-
-    def abort(self) -> None:
-        self.writer.transport.abort()
-
-
 class Client:
-    """Requests to any address. Connections that gave trouble are never used again.
+    """Sends requests to any address. A connection that failed is never used again.
 
-    ``sockets`` bounds what is open at once. Half of them may stay open unused; a request that finds
-    the others at work waits within its own time limit.
+    The number of open sockets is limited. Half of them may be idle connections; a request that
+    finds the other half in use waits, within its own timeout.
     """
 
     def __init__(self, max_sockets: int = DEFAULT_MAX_SOCKETS) -> None:
-        self._idle: dict[str, list[_Connection]] = {}
-        self._kept_most = max_sockets // 2
-        self._kept = 0
-        self.max_concurrent = max(1, max_sockets - self._kept_most)
-        self._room = asyncio.Semaphore(self.max_concurrent)
+        """Hold at most ``max_sockets`` connections at once."""
+        self._idle: dict[str, list[ClientConnection]] = {}  # by address, the longest idle first
+        self._idle_count = 0
+        self._max_idle = max_sockets // 2
+        self.max_concurrent = max(1, max_sockets - self._max_idle)  # requests
+        self._request_slots = asyncio.Semaphore(self.max_concurrent)
 
     async def request(
-        self, addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
+        self,
+        addr: str,
+        method: str,
+        target: str,
+        body: object = None,
+        timeout: float = DEFAULT_TIMEOUT_S,
     ) -> ClientResponse:
-        sent = False
-        conn: _Connection | None = None
+        """Send one request and return the response, whatever its status.
+
+        Args:
+            addr: Host and port.
+            method: HTTP method.
+            target: Path and query.
+            body: Sent as JSON unless it is None.
+            timeout: Seconds for waiting, connecting and the whole exchange together.
+
+        Raises:
+            NoResponseError: No whole response came in time.
+        """
+        request_sent = False
+        connection: ClientConnection | None = None
         data = None if body is None else orjson.dumps(body)
         try:
-            async with asyncio.timeout(timeout), self._room:
-                conn = self._take(addr)
-                if conn is None:
-                    host, port = split_addr(addr)
-                    conn = _Connection(*await asyncio.open_connection(host, port))
-                sent = True
-                reply = await conn.exchange(method, target, addr, data)
+            async with asyncio.timeout(timeout), self._request_slots:
+                connection = self._take_idle(addr)
+                if connection is None:
+                    connection = await ClientConnection.open(*split_addr(addr))
+                request_sent = True
+                response = await connection.exchange(method, target, addr, data)
         except BaseException as error:
-            if conn is not None:
-                conn.abort()
+            if connection is not None:
+                connection.abort()
             if isinstance(error, OSError | TimeoutError | h11.ProtocolError | ValueError):
-                raise NoResponseError(f"{type(error).__name__}: {error}", sent) from None
+                raise NoResponseError(f"{type(error).__name__}: {error}", request_sent) from error
             raise
-        self._keep(addr, conn)
-        return reply
+        self._keep_alive(addr, connection)
+        return response
 
-    def _take(self, addr: str) -> _Connection | None:
+    def _take_idle(self, addr: str) -> ClientConnection | None:
+        """Take the idle connection that was used last; close those found unusable on the way."""
         pool = self._idle.get(addr)
         now = asyncio.get_running_loop().time()
         while pool:
-            conn = pool.pop()
-            self._kept -= 1
-            fresh = now - conn.idle_since < IDLE_TIMEOUT_S
-            if fresh and not conn.reader.at_eof() and not conn.writer.is_closing():
-                return conn
-            conn.abort()
+            connection = pool.pop()
+            self._idle_count -= 1
+            if _is_fresh(connection, now) and connection.is_open:
+                return connection
+            connection.abort()
         return None
 
-    def _keep(self, addr: str, conn: _Connection) -> None:
-        done = conn.h11.our_state is h11.DONE and conn.h11.their_state is h11.DONE
-        if not done or len(self._idle.get(addr, ())) >= MAX_IDLE_PER_ADDRESS:
-            conn.abort()
+    def _keep_alive(self, addr: str, connection: ClientConnection) -> None:
+        """Keep a connection for later requests to the address, if there is room for it."""
+        pool = self._idle.get(addr, ())
+        if not connection.is_reusable or len(pool) >= MAX_IDLE_PER_ADDRESS:
+            connection.abort()
             return
-        if self._kept >= self._kept_most:
-            self._drop_oldest()
-        self._kept += 1
-        conn.h11.start_next_cycle()
-        conn.idle_since = asyncio.get_running_loop().time()
-        self._idle.setdefault(addr, []).append(conn)
-
-    def _drop_oldest(self) -> None:
+        if self._idle_count >= self._max_idle:
+            self._close_oldest_idle()
+        self._idle_count += 1
+        connection.become_idle(asyncio.get_running_loop().time())
+        self._idle.setdefault(addr, []).append(connection)
+
+    def _close_oldest_idle(self) -> None:
         pools = [pool for pool in self._idle.values() if pool]
         min(pools, key=lambda pool: pool[0].idle_since).pop(0).abort()
-        self._kept -= 1
+        self._idle_count -= 1
 
     def close_idle(self) -> None:
-        """Close connections nobody used for a while; called now and then."""
+        """Close connections that nobody used for ``IDLE_TIMEOUT_S``; to be called periodically."""
         now = asyncio.get_running_loop().time()
         for addr, pool in list(self._idle.items()):
             kept = []
-            for conn in pool:
-                if now - conn.idle_since < IDLE_TIMEOUT_S and not conn.reader.at_eof():
-                    kept.append(conn)
+            for connection in pool:
+                if _is_fresh(connection, now):
+                    kept.append(connection)
                 else:
-                    conn.abort()
-                    self._kept -= 1
+                    connection.abort()
+                    self._idle_count -= 1
             if kept:
                 self._idle[addr] = kept
             else:
                 del self._idle[addr]
+
+
+def _is_fresh(connection: ClientConnection, now: float) -> bool:
+    """Whether a connection was used recently and the other side has not ended it."""
+    return now - connection.idle_since < IDLE_TIMEOUT_S and not connection.reached_eof
--- /dev/null
+++ b/petrelthread/http/server_connection.py
@@ -0,0 +1,198 @@
+"""One connection of a client to the server: whole requests in, whole responses out."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
+
+import h11
+
+from petrelthread.http.connection_table import ConnectionTable
+from petrelthread.http.load_shedder import Admission, LoadShedder, RequestSource
+from petrelthread.http.responses import Response, encode_response, error_response
+from petrelthread.protocol import HEARTBEAT_PATH, MAX_BODY_BYTES
+
+log = logging.getLogger(__name__)
+
+IDLE_TIMEOUT_S = 75.0  # for the head of a request to arrive
+BODY_TIMEOUT_S = 10.0
+MAX_LINE_BYTES = 8 * 1024  # of a request's target
+MAX_HEAD_BYTES = 16 * 1024
+READ_SIZE_BYTES = 64 * 1024
+HTTP_VERSIONS = (b"1.0", b"1.1")
+WORKER_REQUEST_PREFIX = f"POST {HEARTBEAT_PATH} ".encode()
+OVERLOADED_RETRY_S = 2
+OVERLOADED = error_response(503, "too many requests wait here", OVERLOADED_RETRY_S)
+FAILED_RETRY_S = 1
+FAILED = error_response(503, "internal trouble", FAILED_RETRY_S)
+
+Handler = Callable[[str, str, bytes], Awaitable[Response]]  # of method, target and body
+
+
+class BodyTooLargeError(Exception):
+    """The body of a request is larger than the protocol allows."""
+
+
+class HttpRequest(NamedTuple):
+    """A whole request."""
+
+    method: str
+    target: str
+    body: bytes
+
+
+def _new_parser() -> h11.Connection:
+    return h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+
+
+def _request_source(data: bytes) -> RequestSource:
+    """Tell whose request begins with ``data``, before anything is parsed."""
+    return RequestSource.WORKER if data.startswith(WORKER_REQUEST_PREFIX) else RequestSource.USER
+
+
+def _check_head(head: h11.Request) -> None:
+    """Check what h11 lets pass: it bounds only incomplete heads, and takes any version number."""
+    if len(head.target) > MAX_LINE_BYTES:
+        raise h11.RemoteProtocolError("line too long")
+    if head.http_version not in HTTP_VERSIONS:
+        raise h11.RemoteProtocolError("version not supported")
+
+
+class ServerConnection:
+    """Reads the requests of one connection and writes the handler's responses."""
+
+    def __init__(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        handler: Handler,
+        load_shedder: LoadShedder,
+        table: ConnectionTable,
+    ) -> None:
+        """Serve the connection of ``reader`` and ``writer``, which the caller closes."""
+        self._reader = reader
+        self._writer = writer
+        self._handler = handler
+        self._load_shedder = load_shedder
+        self._table = table
+        self._parser = _new_parser()
+
+    async def serve(self) -> None:
+        """Answer requests until either side ends the connection.
+
+        Raises:
+            OSError: The connection broke.
+            TimeoutError: The client sent nothing, or not the whole body, in time.
+        """
+        while True:
+            try:
+                request = await self._read_request()
+            except h11.RemoteProtocolError as error:
+                if self._parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+                    await self._refuse(f"bad HTTP: {error}")
+                return
+            except BodyTooLargeError:
+                # 400 rather than 413: users retry every status that the protocol does not list.
+                await self._refuse("body over 64 KiB")
+                return
+            if request is None:
+                return
+            response = await self._handle(request)
+            close = await self._respond(response, head_only=request.method == "HEAD")
+            if close:
+                return
+            self._start_next_request()
+
+    async def _read_request(self) -> HttpRequest | None:
+        """Read the next request; None if the connection ends instead or the request is shed."""
+        self._table.mark_idle(self._writer)
+        async with asyncio.timeout(IDLE_TIMEOUT_S):
+            head = await self._next_event(needs_admission=True)
+        self._table.mark_busy(self._writer)
+        if not isinstance(head, h11.Request):
+            return None
+        _check_head(head)
+        async with asyncio.timeout(BODY_TIMEOUT_S):
+            body = await self._read_body()
+        target = head.target.decode("ascii", "replace")
+        return HttpRequest(head.method.decode("ascii"), target, body)
+
+    async def _read_body(self) -> bytes:
+        parts: list[bytes] = []
+        size = 0
+        while True:
+            event = await self._next_event()
+            if isinstance(event, h11.EndOfMessage):
+                return b"".join(parts)
+            if not isinstance(event, h11.Data):
+                raise h11.RemoteProtocolError("connection ended within a request")
+            size += len(event.data)
+            if size > MAX_BODY_BYTES:
+                raise BodyTooLargeError
+            parts.append(bytes(event.data))
+
+    async def _next_event(
+        self, needs_admission: bool = False
+    ) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
+        """Read until the parser has an event.
+
+        ``needs_admission``: the event begins a request, which the load shedder has to admit before
+        it is parsed. A request that is shed ends the connection.
+        """
+        while True:
+            event = self._parser.next_event()
+            if event is not h11.NEED_DATA:
+                return event
+            if self._parser.they_are_waiting_for_100_continue:
+                go_on = h11.InformationalResponse(status_code=100, headers=[])
+                self._writer.write(self._parser.send(go_on) or b"")
+            data = await self._reader.read(READ_SIZE_BYTES)
+            if needs_admission and data:
+                needs_admission = False
+                self._table.mark_busy(self._writer)  # the wait from here on is not the client's
+                if not await self._is_admitted(data):
+                    return h11.ConnectionClosed()
+            self._parser.receive_data(data)
+
+    async def _is_admitted(self, data: bytes) -> bool:
+        """Wait until the request that begins with ``data`` may be parsed; False if it must not."""
+        source = _request_source(data)
+        admission = await self._load_shedder.admit(source)
+        if admission is Admission.SHED:
+            # A worker gets no answer: it reports to another controller at once.
+            if source is RequestSource.USER:
+                self._writer.write(encode_response(OVERLOADED, close=True))
+            return False
+        if admission is Admission.DELAYED:  # the client may have given up meanwhile
+            return not (self._reader.at_eof() or self._writer.is_closing())
+        return True
+
+    async def _handle(self, request: HttpRequest) -> Response:
+        """Call the handler; an exception of its own becomes a response that asks for a retry."""
+        try:
+            return await self._handler(request.method, request.target, request.body)
+        except Exception:
+            log.exception("request handler failed")
+            return FAILED
+
+    async def _respond(self, response: Response, head_only: bool) -> bool:
+        """Send a response; return whether the connection is to be closed after it."""
+        client_closes = self._parser.their_state is not h11.DONE
+        close = client_closes or self._table.is_crowded
+        self._writer.write(encode_response(response, close, head_only))
+        await self._writer.drain()
+        return close
+
+    def _start_next_request(self) -> None:
+        """Begin a new parser with what the client has sent ahead already."""
+        unread, _ = self._parser.trailing_data
+        self._parser = _new_parser()
+        if unread:
+            self._parser.receive_data(unread)
+
+    async def _refuse(self, reason: str) -> None:
+        """Answer a malformed request; nothing further is read from the connection."""
+        self._writer.write(encode_response(error_response(400, reason), close=True))
+        await self._writer.drain()
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -11,8 +11,7 @@
 import orjson
 
 from petrelthread import protocol
-from petrelthread.http import Response, json_response
-from petrelthread.http.server import error_response
+from petrelthread.http import Response, error_response, json_response
 from petrelthread.job_api.validation import (
     JobTooLargeError,
     MachineTypesUnknownError,
--- a/petrelthread/pause_detector.py
+++ b/petrelthread/pause_detector.py
@@ -1,7 +1,8 @@
-"""Notices that this process stood still while its clocks ran on.
+"""Detects that the process was paused while its clocks ran on.
 
-What lay in its socket buffers meanwhile is as old as the standstill, and what it had not heard it
-could not hear: neither proves that a machine is alive or silent, or that it still leads.
+A paused process neither receives nor answers. What it finds in its socket buffers afterwards is as
+old as the pause, and what it missed was perhaps never sent: neither proves that a machine is alive
+or unresponsive, or that this controller still leads.
 """
 
 from __future__ import annotations
@@ -11,24 +12,27 @@
 
 log = logging.getLogger(__name__)
 
-MIN_PAUSE_S = 2.0  # the housekeeping looks four times as often
+MIN_PAUSE_S = 2.0  # several times the interval at which an idle controller checks
 
 
 class PauseDetector:
-    """Looked at before anything is answered, sent or believed."""
+    """Takes a long time between two checks for a process pause.
+
+    To be checked before anything that was received is processed and before anything is sent.
+    """
 
     def __init__(self, on_resumed: Callable[[float, float], None]) -> None:
-        """``on_still``: told how long it stood still, and the time now."""
+        """Report pauses to ``on_resumed``: the pause in seconds, and the time at which it ended."""
         self._on_resumed = on_resumed
         self._checked_at: float | None = None
-        self.resumed_at = float("-inf")  # without a standstill since then
-        self.last_pause_s = 0.0  # how long the last one was
+        self.resumed_at = float("-inf")  # end of the newest pause
+        self.last_pause_s = 0.0
 
     def check(self, now: float) -> None:
+        """Compare ``now``, by the event loop's clock, with the previous check."""
         before, self._checked_at = self._checked_at, now
-        if before is not None and now - before > MIN_PAUSE_S:
-            self.resumed_at, self.last_pause_s = now, now - before
-            log.warning(
-                "this node stood still for %.1f s; what it knows is as old", self.last_pause_s
-            )
-            self._on_resumed(self.last_pause_s, now)
+        if before is None or now - before <= MIN_PAUSE_S:
+            return
+        self.resumed_at, self.last_pause_s = now, now - before
+        log.warning("process pause of %.1f s; cached state is at least as old", self.last_pause_s)
+        self._on_resumed(self.last_pause_s, now)
--- a/petrelthread/peers/__init__.py
+++ b/petrelthread/peers/__init__.py
@@ -1,5 +1,6 @@
-"""What controllers tell one another: hints only. Nothing here is ever needed for safety."""
+"""Heartbeats between controllers. They carry hints only: no safety property depends on them."""
 
-from petrelthread.peers.peer_monitor import PeerHeartbeat, PeerMonitor
+from petrelthread.peers.peer_heartbeat import PEER_HEARTBEAT_PATH, PeerHeartbeat
+from petrelthread.peers.peer_monitor import PeerMonitor
 
-__all__ = ["PeerHeartbeat", "PeerMonitor"]
+__all__ = ["PEER_HEARTBEAT_PATH", "PeerHeartbeat", "PeerMonitor"]
--- /dev/null
+++ b/petrelthread/peers/peer_heartbeat.py
@@ -0,0 +1,23 @@
+"""The message that controllers exchange with their siblings."""
+
+from __future__ import annotations
+
+import msgspec
+
+PEER_HEARTBEAT_PATH = "/peer/v1/hello"
+
+
+class PeerHeartbeat(msgspec.Struct):
+    """What a controller tells a sibling about itself, as request and as response.
+
+    Rates are in writes to the state service per second.
+    """
+
+    node: str  # host name of the sender
+    epoch: int = 0  # highest epoch or fencing token that the sender knows
+    is_leader: bool = msgspec.field(name="leading", default=False)
+    state_service_ok: bool = msgspec.field(name="state_ok", default=False)
+    worker_heartbeats: int = msgspec.field(name="workers", default=0)  # received recently
+    zone: str = ""
+    requested_write_rate: float = msgspec.field(name="asks", default=0.0)  # in a request
+    lent_write_rate: float = msgspec.field(name="lends", default=0.0)  # in a response
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -1,73 +1,94 @@
-"""Each controller greets each sibling about once a second and after every change of leader."""
+"""Exchanges heartbeats with the sibling controllers and keeps the newest one of each."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections.abc import Callable
+from http import HTTPStatus
+from typing import NamedTuple
 
 import msgspec
 import orjson
 
-from petrelthread.http import NoResponseError, Response, json_response
-from petrelthread.http.server import error_response
+from petrelthread.http import NoResponseError, Response, error_response, json_response
+from petrelthread.peers.peer_heartbeat import PEER_HEARTBEAT_PATH, PeerHeartbeat
 from petrelthread.settings import Sibling
 from petrelthread.store import Request
 
 log = logging.getLogger(__name__)
 
-PEER_HEARTBEAT_PATH = "/peer/v1/hello"
-HEARTBEAT_INTERVAL_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0  # from a sibling's response, or its lack, to the next request
+HEARTBEAT_TIMEOUT_S = 0.8
 
 
-class PeerHeartbeat(msgspec.Struct):
-    """What a controller tells its siblings about itself; rates are writes a second."""
+class ReceivedHeartbeat(NamedTuple):
+    """A sibling's heartbeat and when it came, by the event loop's clock."""
 
-    node: str
-    epoch: int = 0
-    is_leader: bool = msgspec.field(name="leading", default=False)
-    state_service_ok: bool = msgspec.field(name="state_ok", default=False)
-    worker_heartbeats: int = msgspec.field(name="workers", default=0)  # received lately
-    zone: str = ""
-    requested_write_rate: float = msgspec.field(name="asks", default=0.0)  # in a request
-    lent_write_rate: float = msgspec.field(name="lends", default=0.0)  # in a response
-
-
-class ReceivedHeartbeat(msgspec.Struct):
     heartbeat: PeerHeartbeat
     received_at: float
 
 
+def _lend_nothing(_borrower: PeerHeartbeat) -> float:
+    return 0.0
+
+
+def _ignore_loan(_lender: str, _write_rate: float, _requested_at: float) -> None:
+    """Do nothing."""
+
+
 class PeerMonitor:
+    """Sends this controller's heartbeat to each sibling and answers theirs.
+
+    What siblings say is a hint about epochs, reachability and spare write rate. A sibling that is
+    unresponsive or sends malformed messages is left out and tried again.
+    """
+
     def __init__(
         self,
         siblings: tuple[Sibling, ...],
         request: Request,
         own_heartbeat: Callable[[], PeerHeartbeat],
         on_heartbeat: Callable[[PeerHeartbeat], None],
-        lend: Callable[[PeerHeartbeat], float] = lambda heartbeat: 0.0,
-        record_loan: Callable[[str, float, float], None] = lambda lender, amount, asked_at: None,
+        lend: Callable[[PeerHeartbeat], float] = _lend_nothing,
+        record_loan: Callable[[str, float, float], None] = _ignore_loan,
     ) -> None:
+        """Monitor ``siblings``.
+
+        Args:
+            siblings: The other controllers.
+            request: Carries requests to siblings.
+            own_heartbeat: Returns this controller's heartbeat.
+            on_heartbeat: Called with each heartbeat received, in a request or in a response.
+            lend: Returns the write rate, per second, lent to the sender of a request.
+            record_loan: Called with the lender's name, the write rate that its response lends and
+                the time at which the request was sent.
+        """
         self._siblings = siblings
         self._request = request
         self._own_heartbeat = own_heartbeat
         self._on_heartbeat = on_heartbeat
         self._lend = lend
         self._record_loan = record_loan
-        self.last_received: dict[str, ReceivedHeartbeat] = {}
-        self.wake = asyncio.Event()
+        self.last_received: dict[str, ReceivedHeartbeat] = {}  # by the sender's host name
 
     def record(self, heartbeat: PeerHeartbeat) -> None:
-        self.last_received[heartbeat.node] = ReceivedHeartbeat(
-            heartbeat, asyncio.get_running_loop().time()
-        )
+        """Keep a heartbeat that was just received and pass it on."""
+        received_at = asyncio.get_running_loop().time()
+        self.last_received[heartbeat.node] = ReceivedHeartbeat(heartbeat, received_at)
         self._on_heartbeat(heartbeat)
 
     def recent(self, within_s: float) -> list[PeerHeartbeat]:
+        """Return the newest heartbeat of each sibling that was heard within ``within_s``."""
         now = asyncio.get_running_loop().time()
-        return [h.heartbeat for h in self.last_received.values() if now - h.received_at <= within_s]
+        return [
+            received.heartbeat
+            for received in self.last_received.values()
+            if now - received.received_at <= within_s
+        ]
 
     async def handle(self, method: str, body: bytes) -> Response:
+        """Answer a sibling's request at ``PEER_HEARTBEAT_PATH``."""
         if method != "POST":
             return error_response(405, "use POST")
         try:
@@ -75,24 +96,31 @@
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return error_response(400, str(error))
         self.record(heartbeat)
-        mine = msgspec.structs.replace(self._own_heartbeat(), lent_write_rate=self._lend(heartbeat))
-        return json_response(200, msgspec.to_builtins(mine))
+        own = self._own_heartbeat()  # before lending, which changes the rates it is made from
+        response = msgspec.structs.replace(own, lent_write_rate=self._lend(heartbeat))
+        return json_response(200, msgspec.to_builtins(response))
 
     async def run(self) -> None:
+        """Send heartbeats to all siblings for as long as the process lives."""
         await asyncio.gather(*(self._send_heartbeats(sibling) for sibling in self._siblings))
 
     async def _send_heartbeats(self, sibling: Sibling) -> None:
         while True:
-            body = msgspec.to_builtins(self._own_heartbeat())
-            asked_at = asyncio.get_running_loop().time()
             try:
-                reply = await self._request(
-                    sibling.peer_addr, "POST", PEER_HEARTBEAT_PATH, body, timeout=0.8
-                )
-                if reply.status == 200:
-                    heartbeat = msgspec.convert(orjson.loads(reply.body), PeerHeartbeat)
-                    self.record(heartbeat)
-                    self._record_loan(heartbeat.node, heartbeat.lent_write_rate, asked_at)
+                await self._send_heartbeat(sibling)
             except (NoResponseError, orjson.JSONDecodeError, msgspec.ValidationError) as error:
-                log.debug("sibling %s: %s", sibling.host_name, error)
+                log.debug("peer heartbeat to %s failed: %s", sibling.host_name, error)
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+
+    async def _send_heartbeat(self, sibling: Sibling) -> None:
+        """Send one heartbeat and record the response, if it is a success."""
+        body = msgspec.to_builtins(self._own_heartbeat())
+        requested_at = asyncio.get_running_loop().time()
+        reply = await self._request(
+            sibling.peer_addr, "POST", PEER_HEARTBEAT_PATH, body, timeout=HEARTBEAT_TIMEOUT_S
+        )
+        if reply.status != HTTPStatus.OK:
+            return
+        heartbeat = msgspec.convert(orjson.loads(reply.body), PeerHeartbeat)
+        self.record(heartbeat)
+        self._record_loan(heartbeat.node, heartbeat.lent_write_rate, requested_at)
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -1,9 +1,8 @@
-"""What siblings may say."""
+"""What siblings may say, and what this controller does with it."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 import orjson
 import pytest
@@ -11,65 +10,69 @@
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.settings import Sibling
+from petrelthread.store import Request
 from tests.virtual import play
 
 
-async def nobody(*args: Any, **kwargs: Any) -> ClientResponse:
+async def refuse(*_args: object, **_kwargs: object) -> ClientResponse:
     raise NoResponseError("refused", request_sent=False)
 
 
-def heartbeats(heard: list[PeerHeartbeat], request: Any = nobody) -> PeerMonitor:
+def monitor_of(received: list[PeerHeartbeat], request: Request = refuse) -> PeerMonitor:
     sibling = Sibling("n1", "n1:2", "a")
-    return PeerMonitor((sibling,), request, lambda: PeerHeartbeat("n0", 3), heard.append)
+    return PeerMonitor((sibling,), request, lambda: PeerHeartbeat("n0", 3), received.append)
 
 
 @pytest.mark.parametrize(
-    "body", [b"", b"[]", b"null", b'{"epoch":1}', b'{"node":7}', b'{"node":"n1","epoch":"x"}']
+    "body",
+    [b"", b"[]", b"null", b'{"epoch":1}', b'{"node":7}', b'{"node":"n1","epoch":"x"}'],
+    ids=["empty", "list", "null", "no node", "node no string", "epoch no number"],
 )
-def test_malformed_hellos_are_400_and_change_nothing(body: bytes) -> None:
-    heard: list[PeerHeartbeat] = []
-    node = heartbeats(heard)
-    response = play(node.handle("POST", body))
+def test_malformed_heartbeats_are_400_and_change_nothing(body: bytes) -> None:
+    received: list[PeerHeartbeat] = []
+    monitor = monitor_of(received)
+    response = play(monitor.handle("POST", body))
     assert response.status == 400
     assert b"error" in response.body
-    assert not heard and not node.last_received
+    assert not received
+    assert not monitor.last_received
 
 
-def test_a_hello_is_answered_with_ours_and_ages() -> None:
-    heard: list[PeerHeartbeat] = []
+def test_a_heartbeat_is_answered_with_ours_and_ages() -> None:
+    received: list[PeerHeartbeat] = []
 
     async def scenario() -> None:
-        node = heartbeats(heard)
+        monitor = monitor_of(received)
         body = orjson.dumps({"node": "n1", "epoch": 4, "state_ok": True, "later_field": 1})
-        response = await node.handle("POST", body)
+        response = await monitor.handle("POST", body)
         assert response.status == 200
         assert orjson.loads(response.body)["epoch"] == 3
-        assert [heartbeat.epoch for heartbeat in heard] == [4]
-        assert [heartbeat.node for heartbeat in node.recent(3.0)] == ["n1"]
+        assert [heartbeat.epoch for heartbeat in received] == [4]
+        assert [heartbeat.node for heartbeat in monitor.recent(3.0)] == ["n1"]
         await asyncio.sleep(4.0)
-        assert not node.recent(3.0)
+        assert not monitor.recent(3.0)
 
     play(scenario())
 
 
-def test_garbled_answers_and_refusals_do_not_end_the_greeting() -> None:
-    replies: list[Any] = [
-        NoResponseError("refused", False),
+def test_heartbeats_go_on_after_refusals_and_malformed_responses() -> None:
+    replies: list[ClientResponse | NoResponseError] = [
+        NoResponseError("refused", request_sent=False),
         ClientResponse(200, b"{"),
         ClientResponse(200, b'{"node":1}'),
     ]
-    heard: list[PeerHeartbeat] = []
+    received: list[PeerHeartbeat] = []
 
-    async def request(*args: Any, **kwargs: Any) -> ClientResponse:
+    async def request(*_args: object, **_kwargs: object) -> ClientResponse:
         reply = replies.pop(0) if replies else ClientResponse(200, b'{"node":"n1","epoch":9}')
         if isinstance(reply, NoResponseError):
             raise reply
         return reply
 
     async def scenario() -> None:
-        task = asyncio.ensure_future(heartbeats(heard, request).run())
+        task = asyncio.ensure_future(monitor_of(received, request).run())
         await asyncio.sleep(3.5)
         task.cancel()
 
     play(scenario())
-    assert [heartbeat.epoch for heartbeat in heard] == [9]
+    assert [heartbeat.epoch for heartbeat in received] == [9]
