--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -119,9 +119,7 @@
             self.watch_cache,
             self.settings.lease_grace_s,
             randomness,
-            self._on_elected,
-            self._on_role,
-            self._on_token,
+            self,
         )
         self.claims = ClaimWriter(self.state, self.election.fence)
 
@@ -288,7 +286,8 @@
     def _on_key(self, key: str, value: Any, revision: int) -> None:
         self._state_changes.on_key(key, value, revision)
 
-    def _on_role(self, role: Role) -> None:
+    def on_role_changed(self, role: Role) -> None:
+        """Adapt to a new role; see ``LeadershipListener``."""
         active = role in ACTIVE_ROLES
         if not active:
             self.fleet.step_down()
@@ -301,10 +300,11 @@
             self.provisioner.wake.set()
             self.scheduler.wake.set()
 
-    def _on_token(self, token: int) -> None:
+    def on_fencing_token_raised(self, token: int) -> None:
+        """Send commands with a higher fencing token from now on."""
         self.fleet.fencing_token = token
 
-    async def _on_elected(self) -> None:
+    async def on_elected(self) -> None:
         """Fail over: the state has just been read again."""
         now = asyncio.get_running_loop().time()
         epoch = self.election.epoch
--- /dev/null
+++ b/petrelthread/leadership/campaign.py
@@ -0,0 +1,69 @@
+"""The transaction by which a candidate is elected."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from petrelthread.leadership.leader_keys import LEADER_KEY, leader_conditions, leader_operations
+from petrelthread.state import LeaderRecord
+from petrelthread.store import (
+    LeaseExpiredError,
+    StateClient,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TransactionConflictError,
+    WatchCache,
+)
+
+
+class CampaignLostError(Exception):
+    """The candidate was not elected, or cannot know whether it was. The message says why."""
+
+
+class Campaign:
+    """Writes the leader keys as a candidate: only if nobody leads and the epoch is as it was read.
+
+    The compare-and-swap on the epoch key makes every epoch the epoch of one election only.
+    """
+
+    def __init__(
+        self,
+        client: StateClient,
+        watch_cache: WatchCache,
+        current_leader: Callable[[], LeaderRecord | None],
+    ) -> None:
+        """``current_leader`` returns the leader key as the watch cache read it last."""
+        self._client = client
+        self._watch_cache = watch_cache
+        self._current_leader = current_leader
+
+    async def run(self, record: LeaderRecord, epoch_revision: int) -> int:
+        """Write the leader keys and return the revision at which they were written.
+
+        Args:
+            record: The candidate's record, with an epoch one above the epoch read.
+            epoch_revision: The revision at which the epoch was read, 0 if there is none.
+
+        Raises:
+            CampaignLostError: The candidate must give its lease back. A transaction without an
+                answer may arrive late, and cannot be applied without that lease.
+        """
+        conditions = leader_conditions(0, epoch_revision)
+        try:
+            return await self._client.transact(conditions, leader_operations(record))
+        except (TransactionConflictError, LeaseExpiredError, StateUnavailableError) as error:
+            raise CampaignLostError(f"not elected: {error}") from error
+        except StateResultUnknownError as error:
+            revision = await self._revision_if_elected(record.nonce)
+            if not revision:
+                raise CampaignLostError("the result of the election is unknown") from error
+            return revision
+
+    async def _revision_if_elected(self, nonce: str) -> int:
+        """Read the leader key again; return its revision if it is this candidate's, otherwise 0."""
+        if not await self._watch_cache.refresh():
+            return 0
+        leader = self._current_leader()
+        if leader is None or leader.nonce != nonce:
+            return 0
+        return self._watch_cache.revisions[LEADER_KEY]
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -1,55 +1,50 @@
-"""The election as a state machine. Safety rests on the epoch in every claim, not on the lease."""
+"""The election of the leader as a state machine.
+
+Two controllers may believe for a moment that they lead. Safety does not depend on the lease but on
+two conditions that are checked elsewhere: the state service applies a claim only while the leader
+keys are as its writer left them (``Election.fence``), and workers refuse commands with a lower
+fencing token than they have seen.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import random
-from collections.abc import Awaitable, Callable
-from enum import Enum
-from typing import Any
-
-from petrelthread import protocol
-from petrelthread.leadership.fence import Fence
-from petrelthread.state import LeaderRecord, decode_leader
+from typing import cast
+
+from petrelthread.leadership.campaign import Campaign, CampaignLostError
+from petrelthread.leadership.fencing_token import FencingTokenRaiser
+from petrelthread.leadership.leader_keys import EPOCH_KEY, LEADER_KEY
+from petrelthread.leadership.leader_lease import LEASE_TTL_S, RENEW_INTERVAL_S, LeaderLease
+from petrelthread.leadership.leadership_state import LeadershipState
+from petrelthread.leadership.roles import ACTIVE_ROLES, TRANSITIONS, LeadershipListener, Role
+from petrelthread.state import IllegalTransitionError, LeaderRecord, decode_leader
 from petrelthread.store import (
-    KEY_PREFIX,
     LeaseExpiredError,
     StateClient,
-    StateRejectedError,
     StateResultUnknownError,
     StateUnavailableError,
-    TransactionConflictError,
     WatchCache,
 )
 
 log = logging.getLogger(__name__)
 
-LEASE_TTL_S = 3.0
-RENEW_INTERVAL_S = 0.75
-TOKEN_RETRY_S = 0.15  # between two tries to write a higher token
-MAX_CLOCK_DRIFT = 1.001
-
+# Delays to the next step; whatever may change the role meanwhile sets ``Election.wake``.
+FOLLOWER_STEP_INTERVAL_S = 0.2
+STATE_SERVICE_RETRY_S = 0.3
+RENEW_RETRY_S = 0.25
+CHANGED_ROLE_STEP_S = 0.05  # after a campaign or an expired lease
+FAILOVER_RETRY_S = 0.2  # between two attempts to read the state after the election
+MAX_CAMPAIGN_DELAY_S = 0.15  # random, so that candidates do not all campaign at once
 
-class Role(Enum):
-    FOLLOWER = "follower"
-    CANDIDATE = "candidate"
-    FAILING_OVER = "taking over"  # elected, not yet caught up: answers workers, commands nothing
-    LEADING = "leading"
-    LEASE_GRACE = "holding over"  # lease perhaps gone, no newer epoch known: no commands
 
+class Election(LeadershipState):
+    """This controller's part in the election.
 
-TRANSITIONS = {
-    Role.FOLLOWER: {Role.CANDIDATE},
-    Role.CANDIDATE: {Role.FOLLOWER, Role.FAILING_OVER},
-    Role.FAILING_OVER: {Role.LEADING, Role.LEASE_GRACE, Role.FOLLOWER},
-    Role.LEADING: {Role.LEASE_GRACE, Role.FOLLOWER},
-    Role.LEASE_GRACE: {Role.LEADING, Role.FAILING_OVER, Role.FOLLOWER},
-}
-ACTIVE_ROLES = (Role.FAILING_OVER, Role.LEADING, Role.LEASE_GRACE)
+    Whatever changes the role happens here; what a role allows is said in ``LeadershipState``.
+    """
 
-
-class Election:
     def __init__(
         self,
         node_name: str,
@@ -57,49 +52,51 @@
         watch_cache: WatchCache,
         lease_grace_s: float,
         randomness: random.Random,
-        on_elected: Callable[[], Awaitable[None]],
-        on_role: Callable[[Role], None],
-        on_token: Callable[[int], None],
+        listener: LeadershipListener,
     ) -> None:
+        """Begin as a follower; ``run`` takes part in the election.
+
+        Args:
+            node_name: This controller's host name.
+            client: The state service.
+            watch_cache: Tells ``on_key`` about the leader keys.
+            lease_grace_s: How long an active controller answers workers without news from the
+                state service.
+            randomness: Draws delays and nonces.
+            listener: Is told of changes.
+        """
+        super().__init__(watch_cache, lease_grace_s)
         self._node_name = node_name
         self._client = client
-        self._watch_cache = watch_cache
-        self._lease_grace_s = lease_grace_s
         self._random = randomness
-        self._on_elected = on_elected
-        self._on_role = on_role
-        self._on_token = on_token
-        self.role = Role.FOLLOWER
-        self.epoch = 0  # of our election, while acting
-        # What workers are shown: the epoch, or higher since then. No epoch is ever as low as a
-        # token that was shown, since both are the value of one key that only rises.
-        self.fencing_token = 0
-        self._raising_to = 0  # the token whose writing is under way
-        self.highest_known_epoch = 0  # the highest anyone has shown us
-        self.leader: LeaderRecord | None = None  # the lead key's value
-        self.elected_at = 0.0
-        self.abstain_until = 0.0
-        self._fence_revision = 0  # revision of both keys as we wrote them, in one transaction
-        self._stored_epoch = 0  # the epoch key as last read, and its revision
+        self._listener = listener
+        self._campaign_writer = Campaign(client, watch_cache, lambda: self.leader)
+        self._token_raiser = FencingTokenRaiser(self, client, watch_cache)
+        self._state_loaded = False  # since this controller's newest election
+        self._nonce = ""  # of its newest campaign, also of a lost one
+        self._stored_epoch = 0  # the epoch key as last read
         self._stored_epoch_revision = 0
-        self._lease: int | None = None
-        self._nonce = ""
-        self._renewed_at = 0.0
-        self._caught_up = False
-        self.wake = asyncio.Event()
+        self._abstain_until = 0.0
+        self.wake = asyncio.Event()  # ends the delay to the next step
 
-    # ---- states ----------------------------------------------------------------------------
+    # ---- changes of the role -------------------------------------------------------------------
 
     def _transition(self, target: Role, reason: str) -> None:
-        """The one place where the role changes."""
+        """Change the role. Every change happens here.
+
+        Raises:
+            IllegalTransitionError: No such change is defined.
+        """
         if target is self.role:
             return
-        assert target in TRANSITIONS[self.role], f"{self.role} to {target}"
-        level = logging.DEBUG if Role.CANDIDATE in (target, self.role) else logging.INFO
-        if target is Role.FAILING_OVER:
-            level = logging.INFO
+        if target not in TRANSITIONS[self.role]:
+            raise IllegalTransitionError(f"{self.role.value} to {target.value}")
+        # Campaigns without success are frequent while the state service is down.
+        failed_campaign = target is Role.CANDIDATE or (
+            self.role is Role.CANDIDATE and target is Role.FOLLOWER
+        )
         log.log(
-            level,
+            logging.DEBUG if failed_campaign else logging.INFO,
             "leadership: %s to %s (epoch %d): %s",
             self.role.value,
             target.value,
@@ -107,247 +104,228 @@
             reason,
         )
         self.role = target
-        self._on_role(target)
-
-    @property
-    def may_answer_workers(self) -> bool:
-        """May answer workers with 200: nobody newer is known, and the hold-over is not over."""
-        return self.role in ACTIVE_ROLES and self._now() < self._grace_end()
-
-    @property
-    def is_leader(self) -> bool:
-        return self.role is Role.LEADING and self._now() < self._lease_end()
-
-    @property
-    def may_start_tasks(self) -> bool:
-        """May tell workers to start something: it knows what was cancelled until a moment ago."""
-        return self.is_leader and self._now() < self._watch_cache.current_as_of + LEASE_TTL_S
-
-    @property
-    def leader_name(self) -> str | None:
-        return self.leader.node if self.leader else None
-
-    def fence(self) -> Fence | None:
-        """The conditions of every claim, or None when there is no right to claim."""
-        if self.role not in (Role.FAILING_OVER, Role.LEADING):
-            return None
-        conditions = [
-            protocol.Condition(KEY_PREFIX + "lead", self._fence_revision),
-            protocol.Condition(KEY_PREFIX + "epoch", self._fence_revision),
-        ]
-        return Fence(self.epoch, conditions)
-
-    def _now(self) -> float:
-        return asyncio.get_running_loop().time()
-
-    def _lease_end(self) -> float:
-        return self._renewed_at + LEASE_TTL_S / MAX_CLOCK_DRIFT
-
-    def _grace_end(self) -> float:
-        """Until when workers may be answered.
+        self._listener.on_role_changed(target)
 
-        A renewal shows that nobody newer leads, not that this node has read what others wrote: its
-        watch may have stood still, or its answers been lost, while renewals went through. Whatever
-        is not known here was cancelled after the newest complete read.
-        """
-        return min(self._renewed_at, self._watch_cache.current_as_of) + self._lease_grace_s
-
-    # ---- what others show --------------------------------------------------------------------
-
-    def on_key(self, key: str, value: Any, revision: int) -> None:
-        if key == "epoch" and value is not None:
-            # Whose it is, the lead key tells, which is always written along with it.
-            self._stored_epoch, self._stored_epoch_revision = int(value), revision
-            self.highest_known_epoch = max(self.highest_known_epoch, int(value))
-        elif key == "lead":
-            leader = None if value is None else decode_leader(value)
-            self.leader = leader
-            ours = leader is not None and leader.nonce == self._nonce
-            if self.role in ACTIVE_ROLES and not ours and revision > self._fence_revision:
-                self._step_down("the lead key is gone or another's")
-            elif self.role in ACTIVE_ROLES and leader is not None and ours:
-                self._adopt_token(leader.epoch, revision)
-            if leader is not None:
-                self.observe_epoch(leader.epoch)
+    def _step_down(self, reason: str) -> None:
+        self._transition(Role.FOLLOWER, reason)
         self.wake.set()
 
     def observe_epoch(self, epoch: int) -> None:
-        """Somebody knows this epoch, or token. One that we may have written is no newer leader's"""
+        """Take note of an epoch or fencing token that somebody knows; step down if it is newer.
+
+        A token that this controller may have written itself shows no newer leader.
+        """
         self.highest_known_epoch = max(self.highest_known_epoch, epoch)
-        if self.role in ACTIVE_ROLES and epoch > self.fencing_token and epoch != self._raising_to:
+        is_own = epoch <= self.fencing_token or epoch == self._token_raiser.pending
+        if self.role in ACTIVE_ROLES and not is_own:
             self._step_down(f"epoch {epoch} is newer")
 
-    def _step_down(self, reason: str) -> None:
-        self._transition(Role.FOLLOWER, reason)
-        self.wake.set()
-
     def on_process_resumed(self) -> None:
-        """This process stood still. Past its lease another may lead by now: until the state service
-        has answered, it commands nothing and does not show itself as the leader."""
-        if self.role in (Role.LEADING, Role.FAILING_OVER) and self._now() >= self._lease_end():
-            self._transition(Role.LEASE_GRACE, "it stood still past its lease")
+        """Stop commanding after a process pause that outlasted the lease.
+
+        Another controller may have been elected meanwhile. Until the state service has answered,
+        this one neither commands nor calls itself the leader.
+        """
+        if self.role in (Role.LEADING, Role.FAILING_OVER) and self._now() >= self._lease.expires_at:
+            self._transition(Role.LEASE_GRACE, "process pause beyond the lease")
         self.wake.set()
 
     async def resign(self, reason: str, abstain_s: float) -> None:
-        """Give the lead away, as one who cannot reach the workers must."""
-        self.abstain_until = self._now() + abstain_s
-        lease = self._lease
+        """Step down, give the lease back and do not campaign for ``abstain_s``."""
+        self._abstain_until = self._now() + abstain_s
+        lease_id = self._lease.lease_id
         self._step_down(reason)
-        if lease is not None:
-            await self._revoke(lease)
+        if lease_id is not None:
+            await self._revoke(lease_id)
 
-    async def _revoke(self, lease: int) -> bool:
+    async def _revoke(self, lease_id: int) -> None:
+        """Give a lease back; without success it expires by itself."""
         try:
-            await self._client.revoke_lease(lease)
-        except (StateUnavailableError, StateResultUnknownError):
-            return False
-        return True
+            await self._client.revoke_lease(lease_id)
+        except (StateUnavailableError, StateResultUnknownError) as error:
+            log.debug("leadership: lease %d not given back: %s", lease_id, error)
+
+    # ---- the leader keys -----------------------------------------------------------------------
+
+    def on_key(self, key: str, value: object, revision: int) -> None:
+        """Take note of a change of a leader key; ``value`` is None if the key was deleted."""
+        if key == EPOCH_KEY and value is not None:
+            self._on_epoch_key(int(cast("int", value)), revision)
+        elif key == LEADER_KEY:
+            leader = None if value is None else decode_leader(value)
+            self._on_leader_key(leader, revision)
+        self.wake.set()
+
+    def _on_epoch_key(self, epoch: int, revision: int) -> None:
+        # Whose epoch it is follows from the leader key, which is written in the same transaction.
+        self._stored_epoch, self._stored_epoch_revision = epoch, revision
+        self.highest_known_epoch = max(self.highest_known_epoch, epoch)
+
+    def _on_leader_key(self, leader: LeaderRecord | None, revision: int) -> None:
+        self.leader = leader
+        is_own = leader is not None and leader.nonce == self._nonce
+        if self.role in ACTIVE_ROLES and not is_own and revision > self._fence_revision:
+            self._step_down("the leader key is gone or another controller's")
+        elif self.role in ACTIVE_ROLES and leader is not None and is_own:
+            self.adopt_token(leader.epoch, revision)
+        if leader is not None:
+            self.observe_epoch(leader.epoch)
 
-    # ---- the loop ----------------------------------------------------------------------------
+    # ---- the loop ------------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Take part in the election for as long as the process lives."""
         while True:
             try:
-                delay = await self._step()
+                delay_s = await self._step()
             except (StateUnavailableError, StateResultUnknownError) as error:
                 log.debug("leadership: state service: %s", error)
-                delay = 0.3
+                delay_s = STATE_SERVICE_RETRY_S
             self.wake.clear()
             try:
-                async with asyncio.timeout(delay):
+                async with asyncio.timeout(delay_s):
                     await self.wake.wait()
             except TimeoutError:
                 pass
 
     async def _step(self) -> float:
+        """Do what the role demands; return the seconds until the next step."""
         if self.role in ACTIVE_ROLES:
-            return await self._renew()
-        if not self._watch_cache.loaded.is_set() or self._now() < self.abstain_until:
-            return 0.2
+            return await self._renew_lease()
+        if not self._watch_cache.loaded.is_set() or self._now() < self._abstain_until:
+            return FOLLOWER_STEP_INTERVAL_S
         if self.leader is not None:
-            stale = self.leader.node == self._node_name and self.leader.nonce != self._nonce
-            if stale:
-                # An earlier life of this very node: it is dead, its lease need not run out.
-                log.info("leadership: ending the lease of an earlier life of this node")
+            if self._is_own_earlier_incarnation(self.leader):
+                log.info("leadership: revoking the lease of an earlier incarnation of this node")
                 await self._revoke(self.leader.lease)
                 await self._watch_cache.refresh()
-            return 0.2
-        await asyncio.sleep(self._random.uniform(0.0, 0.15))
+            return FOLLOWER_STEP_INTERVAL_S
+        await asyncio.sleep(self._random.uniform(0.0, MAX_CAMPAIGN_DELAY_S))
         if not await self._watch_cache.refresh() or self.leader is not None:
-            return 0.2
+            return FOLLOWER_STEP_INTERVAL_S
         await self._campaign()
-        return 0.05
+        return CHANGED_ROLE_STEP_S
+
+    def _is_own_earlier_incarnation(self, leader: LeaderRecord) -> bool:
+        """Whether the leader is this node before a restart: it is dead, its lease of no use."""
+        return leader.node == self._node_name and leader.nonce != self._nonce
+
+    # ---- candidate -----------------------------------------------------------------------------
 
     async def _campaign(self) -> None:
+        """Try once to be elected."""
         self._transition(Role.CANDIDATE, "there is no leader")
-        started = self._now()
+        requested_at = self._now()
         try:
-            lease = await self._client.grant_lease(LEASE_TTL_S)
+            lease_id = await self._client.grant_lease(LEASE_TTL_S)
         except (StateUnavailableError, StateResultUnknownError):
-            self._transition(Role.FOLLOWER, "no lease to be had")
+            self._transition(Role.FOLLOWER, "no lease granted")
             raise
         epoch = self._stored_epoch + 1
         self._nonce = f"{self._node_name}-{self._random.getrandbits(64):016x}"
-        record = LeaderRecord(self._node_name, self._nonce, epoch, lease)
-        conditions = [
-            protocol.Condition(KEY_PREFIX + "lead", 0),
-            protocol.Condition(KEY_PREFIX + "epoch", self._stored_epoch_revision),
-        ]
-        ops = [
-            protocol.PutOperation(KEY_PREFIX + "lead", record, lease),
-            protocol.PutOperation(KEY_PREFIX + "epoch", epoch),
-        ]
+        record = LeaderRecord(self._node_name, self._nonce, epoch, lease_id)
         try:
-            stamp = await self._client.transact(conditions, ops)
-        except (TransactionConflictError, LeaseExpiredError, StateUnavailableError) as error:
-            self._transition(Role.FOLLOWER, f"not elected: {error}")
-            await self._revoke(lease)
+            revision = await self._campaign_writer.run(record, self._stored_epoch_revision)
+            self._check_epoch_is_newest(epoch)
+        except CampaignLostError as lost:
+            self._transition(Role.FOLLOWER, str(lost))
+            await self._revoke(lease_id)
             return
-        except StateResultUnknownError:
-            stamp = 0
-            if await self._watch_cache.refresh() and self.leader is not None:
-                mine = self.leader.nonce == self._nonce
-                stamp = self._watch_cache.revisions["lead"] if mine else 0
-            if not stamp:
-                # The transaction may come late. Without its lease it cannot be applied.
-                self._transition(Role.FOLLOWER, "election unanswered")
-                await self._revoke(lease)
-                return
+        self._on_elected(record, LeaderLease(lease_id, requested_at), revision)
+
+    def _check_epoch_is_newest(self, epoch: int) -> None:
         if self.highest_known_epoch > epoch:
-            self._transition(Role.FOLLOWER, "a newer epoch is known")
-            await self._revoke(lease)
-            return
-        self.epoch = self.fencing_token = self.highest_known_epoch = epoch
-        self._raising_to = 0
+            raise CampaignLostError("a newer epoch is known")
+
+    def _on_elected(self, record: LeaderRecord, lease: LeaderLease, revision: int) -> None:
+        """Begin to lead with what the campaign wrote."""
+        self.epoch = self.fencing_token = self.highest_known_epoch = record.epoch
+        self._token_raiser.pending = 0
         self._lease = lease
-        self._fence_revision = stamp
-        self._renewed_at = started
+        self._fence_revision = revision
         self.elected_at = self._now()
-        self._caught_up = False
+        self._state_loaded = False
         self._transition(Role.FAILING_OVER, "elected")
         asyncio.create_task(self._fail_over())
 
+    # ---- leader --------------------------------------------------------------------------------
+
     async def _fail_over(self) -> None:
+        """Read what earlier leaders wrote, then lead; end early if the role changes meanwhile."""
         while self.role is Role.FAILING_OVER:
             if await self._watch_cache.refresh():
                 break
-            await asyncio.sleep(0.2)
+            await asyncio.sleep(FAILOVER_RETRY_S)
         if self.role is Role.FAILING_OVER:
-            await self._on_elected()
+            await self._listener.on_elected()
         if self.role is Role.FAILING_OVER:
-            self._caught_up = True
+            self._state_loaded = True
             self._transition(Role.LEADING, "state reloaded, workers being read")
 
-    # ---- a higher token under the same lead ----------------------------------------------------
+    async def _renew_lease(self) -> float:
+        """Renew the lease once; return the seconds until the next renewal."""
+        lease = self._lease
+        try:
+            renewed_at = await lease.renew(self._client)
+        except LeaseExpiredError:
+            if self._is_active_with(lease):
+                self._step_down("the lease has expired")
+            return CHANGED_ROLE_STEP_S
+        except (StateUnavailableError, StateResultUnknownError) as error:
+            self._on_renewal_failed(error)
+            return RENEW_RETRY_S
+        if self._is_active_with(lease):
+            lease.renewed_at = renewed_at
+            if self.role is Role.LEASE_GRACE:
+                await self._leave_lease_grace()
+        return RENEW_INTERVAL_S
+
+    def _is_active_with(self, lease: LeaderLease) -> bool:
+        """Whether the lease is still that of the present leadership."""
+        return self.role in ACTIVE_ROLES and lease is self._lease
+
+    async def _leave_lease_grace(self) -> None:
+        """Lead again with a lease that turned out not to have expired."""
+        if not self._state_loaded:
+            # The outage interrupted the failover, which has to be repeated.
+            self._transition(Role.FAILING_OVER, "the lease was renewed after all")
+            asyncio.create_task(self._fail_over())
+        # What others wrote meanwhile has to be read before anything is commanded.
+        elif await self._watch_cache.refresh() and self.role is Role.LEASE_GRACE:
+            self._transition(Role.LEADING, "the lease was renewed after all")
+
+    def _on_renewal_failed(self, error: StateUnavailableError | StateResultUnknownError) -> None:
+        """Enter the lease grace period if the lease may have expired, and step down after it."""
+        now = self._now()
+        if self.role not in ACTIVE_ROLES or now <= self._lease.expires_at:
+            return
+        if now > self._lease_grace_end():
+            self._step_down("the lease grace period is over")
+        elif self.role is not Role.LEASE_GRACE:
+            self._transition(Role.LEASE_GRACE, f"state service: {error}")
+
+    # ---- fencing token -------------------------------------------------------------------------
 
     async def raise_fencing_token(self) -> bool:
-        """Show workers a higher token from now on, so that all commands sent so far are refused.
+        """Raise the token, so that workers refuse every command sent so far.
 
-        To be called while no claim is under way, for the conditions of claims change with it. The
-        write holds only under our lease and our present token; unanswered, it is repeated until
-        its fate is known. True if the token is higher now.
+        Returns whether the token is higher now. To be called while no claim is in flight; see
+        ``FencingTokenRaiser.raise_token``.
+        """
+        return await self._token_raiser.raise_token()
+
+    def record_with_token(self, token: int) -> LeaderRecord | None:
+        """Return the record of the present leadership with another token, or None without one."""
+        lease_id = self._lease.lease_id
+        if lease_id is None:
+            return None
+        return LeaderRecord(self._node_name, self._nonce, token, lease_id)
+
+    def adopt_token(self, token: int, revision: int) -> None:
+        """Use a token that is written in the leader keys under this controller's lease.
+
+        It may be learnt from the answer to the write or from the watch, whichever comes first.
         """
-        epoch, before = self.epoch, self.fencing_token
-        self._raising_to = before + 1
-        while self.role is Role.LEADING and self.epoch == epoch and self.fencing_token == before:
-            if await self._write_token(before + 1):
-                break
-            await asyncio.sleep(TOKEN_RETRY_S)
-        return self.role in ACTIVE_ROLES and self.epoch == epoch and self.fencing_token > before
-
-    async def _write_token(self, token: int) -> bool:
-        """One try. True if its fate is known: the token is written, or can't be any more."""
-        fence, lease = self.fence(), self._lease
-        if fence is None or lease is None:
-            return True
-        record = LeaderRecord(self._node_name, self._nonce, token, lease)
-        ops = [
-            protocol.PutOperation(KEY_PREFIX + "lead", record, lease),
-            protocol.PutOperation(KEY_PREFIX + "epoch", token),
-        ]
-        try:
-            stamp = await self._client.transact(fence.conditions, ops)
-        except StateRejectedError as error:
-            log.error("leadership: token %d: %s", token, error)
-            self._raising_to = 0
-            return True
-        except (StateResultUnknownError, StateUnavailableError) as error:
-            log.debug("leadership: token %d not written yet: %s", token, error)
-            await self._watch_cache.refresh()
-            return self.fencing_token >= token
-        except (TransactionConflictError, LeaseExpiredError):
-            # An earlier copy counts, or this node leads no more: the keys say which.
-            if not await self._watch_cache.refresh():
-                return False
-            self._raising_to = 0
-            self.observe_epoch(self.highest_known_epoch)
-            return True
-        if self.role in ACTIVE_ROLES and self.epoch == fence.epoch:
-            self._adopt_token(token, stamp)
-        return True
-
-    def _adopt_token(self, token: int, revision: int) -> None:
-        """A token that is written under our own lead is ours, whether or not we were told so."""
         if token <= self.fencing_token:
             return
         log.info(
@@ -358,35 +336,6 @@
         )
         self.fencing_token = token
         self.highest_known_epoch = max(self.highest_known_epoch, token)
-        self._raising_to = 0
+        self._token_raiser.pending = 0
         self._fence_revision = revision
-        self._on_token(token)
-
-    async def _renew(self) -> float:
-        assert self._lease is not None
-        lease, started = self._lease, self._now()
-        try:
-            await self._client.renew_lease(lease, timeout=0.9)
-            if self.role in ACTIVE_ROLES and lease == self._lease:
-                self._renewed_at = started
-                if self.role is Role.LEASE_GRACE and self._caught_up:
-                    # What others wrote meanwhile has to be read before anything is commanded.
-                    if await self._watch_cache.refresh() and self.role is Role.LEASE_GRACE:
-                        self._transition(Role.LEADING, "lease renewed after all")
-                elif self.role is Role.LEASE_GRACE:
-                    # The outage came in the middle of the take-over: it has to be done again.
-                    self._transition(Role.FAILING_OVER, "lease renewed after all")
-                    asyncio.create_task(self._fail_over())
-            return RENEW_INTERVAL_S
-        except LeaseExpiredError:
-            if self.role in ACTIVE_ROLES and lease == self._lease:
-                self._step_down("the lease has ended")
-            return 0.05
-        except (StateUnavailableError, StateResultUnknownError) as error:
-            now = self._now()
-            if self.role in ACTIVE_ROLES and now > self._lease_end():
-                if now > self._grace_end():
-                    self._step_down("the hold-over is over")
-                elif self.role is not Role.LEASE_GRACE:
-                    self._transition(Role.LEASE_GRACE, f"state service: {error}")
-            return 0.25
+        self._listener.on_fencing_token_raised(token)
--- a/petrelthread/leadership/fence.py
+++ b/petrelthread/leadership/fence.py
@@ -1,4 +1,4 @@
-"""The right to write as the leader."""
+"""The right to write to the state service as the leader."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class Fence(NamedTuple):
-    """Conditions that hold as long as this controller leads with the epoch of its election."""
+    """Conditions of a transaction that hold only while this controller leads.
 
-    epoch: int  # after another lead in between it is another one
-    conditions: list[protocol.Condition]  # for the state service to compare
+    They name the revisions of the leader keys as this controller wrote them, so the state service
+    itself refuses the transaction of a leader that was deposed without knowing it.
+    """
+
+    epoch: int  # of the election; a later election of the same controller has another one
+    conditions: list[protocol.Condition]
--- /dev/null
+++ b/petrelthread/leadership/leader_keys.py
@@ -0,0 +1,26 @@
+"""The two keys that say who leads. They are always written together, in one transaction."""
+
+from __future__ import annotations
+
+from petrelthread import protocol
+from petrelthread.state import LeaderRecord
+from petrelthread.store import KEY_PREFIX
+
+LEADER_KEY = "lead"  # a LeaderRecord; tied to the leader's lease, so that it goes with it
+EPOCH_KEY = "epoch"  # the newest epoch or fencing token, a number that only rises
+
+
+def leader_conditions(leader_revision: int, epoch_revision: int) -> list[protocol.Condition]:
+    """Return the conditions that both keys are as last written; revision 0 means absent."""
+    return [
+        protocol.Condition(KEY_PREFIX + LEADER_KEY, leader_revision),
+        protocol.Condition(KEY_PREFIX + EPOCH_KEY, epoch_revision),
+    ]
+
+
+def leader_operations(record: LeaderRecord) -> list[protocol.PutOperation]:
+    """Return the operations that write both keys."""
+    return [
+        protocol.PutOperation(KEY_PREFIX + LEADER_KEY, record, record.lease),
+        protocol.PutOperation(KEY_PREFIX + EPOCH_KEY, record.epoch),
+    ]
--- a/petrelthread/leadership/test_election.py
+++ b/petrelthread/leadership/test_election.py
@@ -1,10 +1,13 @@
-"""The right to lead, to command and to answer: three different things."""
+"""Elections, and what each role allows."""
 
 from __future__ import annotations
 
 import asyncio
 
+import pytest
+
 from petrelthread.leadership import Role
+from petrelthread.state import IllegalTransitionError
 from tests.virtual import play
 from tests.world import NODES, World
 
@@ -14,14 +17,16 @@
         world = World()
         name = await world.led()
         election = world.nodes[name].election
-        assert election.is_leader and election.may_answer_workers and election.fence() is not None
+        assert election.is_leader
+        assert election.may_answer_workers
+        assert election.fence() is not None
         world.net.cut |= {frozenset((name, other)) for other in ("state", *NODES) if other != name}
         lost_at = asyncio.get_running_loop().time()
         await asyncio.sleep(5.0)
         assert election.role is Role.LEASE_GRACE
-        assert not election.is_leader  # no commands, no claims,
-        assert election.fence() is None
-        assert election.may_answer_workers  # but answers, so that no worker's lease ends for it
+        assert not election.is_leader  # no commands
+        assert election.fence() is None  # no claims
+        assert election.may_answer_workers  # keeps the workers' leases from expiring
         while election.may_answer_workers:
             await asyncio.sleep(0.1)
         held_s = asyncio.get_running_loop().time() - lost_at
@@ -31,7 +36,7 @@
     play(scenario())
 
 
-def test_a_newer_epoch_from_anyone_ends_the_lead() -> None:
+def test_a_newer_epoch_from_anyone_ends_the_leadership() -> None:
     async def scenario() -> None:
         world = World()
         name = await world.led()
@@ -39,7 +44,8 @@
         election.observe_epoch(election.epoch)
         assert election.is_leader
         election.observe_epoch(election.epoch + 1)
-        assert election.role is Role.FOLLOWER and not election.may_answer_workers
+        assert election.role is Role.FOLLOWER
+        assert not election.may_answer_workers
 
     play(scenario())
 
@@ -65,8 +71,10 @@
 
 
 def test_a_leader_deposed_by_a_reload_can_be_elected_again() -> None:
-    """A reload tells the keys in their own order, the epoch before whose it is. Its revision was
-    not kept then, so each campaign of this node failed until somebody else had been elected."""
+    """A reload tells the epoch key before the leader key.
+
+    The epoch's revision has to be kept all the same: campaigns compare it.
+    """
 
     async def scenario() -> None:
         world = World()
@@ -92,3 +100,14 @@
         assert node.election.epoch > epoch + 1
 
     play(scenario())
+
+
+def test_a_role_change_that_is_not_defined_is_an_error() -> None:
+    async def scenario() -> None:
+        election = World().nodes[NODES[0]].election
+        assert election.role is Role.FOLLOWER
+        with pytest.raises(IllegalTransitionError):
+            election._transition(Role.LEADING, "not elected")
+        assert election.role is Role.FOLLOWER
+
+    play(scenario())
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -16,7 +16,7 @@
 from petrelthread import protocol
 from petrelthread.cli import main
 from petrelthread.controller import Controller
-from petrelthread.leadership import Election
+from petrelthread.leadership import Election, Role
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.provisioning import (
     CloudClient,
@@ -163,16 +163,20 @@
         client = state_client(requester)
         shown: list[int] = []
 
-        async def on_elected() -> None: ...
+        class Listener:
+            def on_role_changed(self, role: Role) -> None: ...
+
+            async def on_elected(self) -> None: ...
+
+            def on_fencing_token_raised(self, token: int) -> None:
+                shown.append(token)
 
         cache = WatchCache(client, lambda key, value, stamp: None, 0.15)
         randomness = random.Random(1)
-        election = Election(
-            "n1", client, cache, 10.0, randomness, on_elected, lambda role: None, shown.append
-        )
+        election = Election("n1", client, cache, 10.0, randomness, Listener())
         election.on_key("epoch", 6, 17)
         await election._campaign()
-        await election._write_token(8)
+        await election._token_raiser.write(8)
         asked = requester.asked
         expect("stored_keys", "election", "won, then the token raised", [asked, shown])
         lead = given("stored_keys", "election", "another's lead read")
