--- a/petrelthread/http/test_load_shedder.py
+++ b/petrelthread/http/test_load_shedder.py
@@ -1,4 +1,4 @@
-"""No turn of the event loop serves requests for long, and the right ones go first."""
+"""Each turn of the event loop serves requests for a bounded time, and the right ones first."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 COST_S = 0.002  # of each request
-SPELL_S = 0.02
+TIME_SLICE_S = 0.02
 
 
 class Clock:
@@ -34,15 +34,15 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.gate = LoadShedder(self.clock, SPELL_S)
+        self.load_shedder = LoadShedder(self.clock, TIME_SLICE_S)
         self.turns = 0
         self.served: list[tuple[int, RequestSource]] = []  # turn of the loop, and whose request
 
-    async def request(self, kind: RequestSource) -> None:
-        if await self.gate.admit(kind) is Admission.SHED:
+    async def request(self, source: RequestSource) -> None:
+        if await self.load_shedder.admit(source) is Admission.SHED:
             return
         self.clock.now += COST_S
-        self.served.append((self.turns, kind))
+        self.served.append((self.turns, source))
 
     async def count_turns(self) -> None:
         while True:
@@ -50,10 +50,10 @@
             await asyncio.sleep(0)
 
 
-def play(load: Load, kinds: list[RequestSource]) -> None:
+def play(load: Load, sources: list[RequestSource]) -> None:
     async def main() -> None:
         counting = asyncio.create_task(load.count_turns())
-        await asyncio.gather(*(load.request(kind) for kind in kinds))
+        await asyncio.gather(*(load.request(source) for source in sources))
         counting.cancel()
 
     asyncio.run(main())
@@ -63,26 +63,26 @@
 def test_each_turn_of_the_loop_serves_for_a_bounded_time(count: int) -> None:
     load = Load()
     play(load, [RequestSource.WORKER] * count)
-    assert len(load.served) + load.gate.shed == count
+    assert len(load.served) + load.load_shedder.shed == count
     assert len(load.served) >= min(count, 1000)  # what can be served within the longest wait
     by_turn: dict[int, int] = {}
     for turn, _ in load.served:
         by_turn[turn] = by_turn.get(turn, 0) + 1
-    # Twice a spell: one that is under way when the next begins in the same turn. While the cost of
-    # a request is still being learnt, what is released together may take up to its first estimate.
-    assert max(by_turn.values()) * COST_S <= 2.5 * SPELL_S
-    assert load.gate.waiting == 0
+    # Two time slices: one may be under way when the next begins in the same turn. Until the cost of
+    # a request is learnt, requests are released by its first estimate.
+    assert max(by_turn.values()) * COST_S <= 2.5 * TIME_SLICE_S
+    assert load.load_shedder.waiting == 0
 
 
-def test_workers_go_first_and_users_do_not_stand_still() -> None:
+def test_workers_go_first_and_users_do_not_starve() -> None:
     load = Load()
     play(load, [RequestSource.USER] * 100 + [RequestSource.WORKER] * 100)
-    first = [kind for _, kind in load.served[20:80]]
+    first = [source for _, source in load.served[20:80]]
     users = first.count(RequestSource.USER) / len(first)
     assert users == pytest.approx(1 / USER_REQUEST_INTERVAL, abs=0.1)
 
 
-def test_a_request_given_up_while_it_waits_holds_up_no_other() -> None:
+def test_a_request_cancelled_while_delayed_holds_up_no_other() -> None:
     load = Load()
 
     async def main() -> None:
@@ -94,72 +94,72 @@
 
     asyncio.run(main())
     assert 30 <= len(load.served) < 100
-    assert load.gate.waiting == 0
+    assert load.load_shedder.waiting == 0
 
 
-def test_what_would_be_answered_too_late_is_turned_away() -> None:
-    """Twice as many requests as can be served: those that are served have not waited for long."""
+def test_requests_that_would_be_answered_too_late_are_shed() -> None:
+    """With twice as many requests as can be served, those that are served have not waited long."""
     load = Load()
     waited: list[float] = []
-    turned_away: list[float] = []
+    shed_after: list[float] = []
 
-    async def request(kind: RequestSource) -> None:
-        came = load.clock.now
-        turn = await load.gate.admit(kind)
-        if turn is Admission.SHED:
-            turned_away.append(load.clock.now - came)
+    async def request(source: RequestSource) -> None:
+        arrived_at = load.clock.now
+        admission = await load.load_shedder.admit(source)
+        if admission is Admission.SHED:
+            shed_after.append(load.clock.now - arrived_at)
             return
-        waited.append(load.clock.now - came)
+        waited.append(load.clock.now - arrived_at)
         load.clock.now += COST_S
 
     async def main() -> None:
-        tasks = []
+        tasks: list[asyncio.Task[None]] = []
         for _ in range(10_000 // 20):
-            begun = load.clock.now
-            for _ in range(20):
-                tasks.append(asyncio.create_task(request(RequestSource.WORKER)))
-            while load.clock.now - begun < 20 * COST_S / 2:
+            started_at = load.clock.now
+            tasks.extend(asyncio.create_task(request(RequestSource.WORKER)) for _ in range(20))
+            while load.clock.now - started_at < 20 * COST_S / 2:
                 load.clock.now += COST_S / 100
                 await asyncio.sleep(0)
         await asyncio.gather(*tasks)
 
     asyncio.run(main())
-    assert max(waited) <= MAX_WAIT_S + 3 * SPELL_S
-    assert len(waited) + len(turned_away) == 10_000
+    assert max(waited) <= MAX_WAIT_S + 3 * TIME_SLICE_S
+    assert len(waited) + len(shed_after) == 10_000
     assert len(waited) > 4000  # the processor is not spent on what is too late
-    assert load.gate.shed == len(turned_away) > 500
+    assert load.load_shedder.shed == len(shed_after) > 500
 
 
-class FullGate(LoadShedder):
-    """One at which everything has waited too long."""
+class OverloadedShedder(LoadShedder):
+    """Sheds every request."""
 
     async def admit(self, source: RequestSource) -> Admission:
         return Admission.SHED
 
 
-def test_a_user_who_is_turned_away_is_told_when_to_come_back() -> None:
-    """A worker's connection is closed: it reports elsewhere, and loses no time to an answer."""
+def test_a_shed_user_is_told_when_to_retry_and_a_shed_worker_is_not_answered() -> None:
+    """A worker whose connection is closed sends its heartbeat to another controller at once."""
 
     async def fine(method: str, target: str, body: bytes) -> Response:
         return json_response(200, {})
 
     async def main() -> None:
-        server = Server(fine, 20, load_shedder=FullGate())
+        server = Server(fine, 20, load_shedder=OverloadedShedder())
         listening = await server.listen("127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
 
         async def ask(head: bytes) -> bytes:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(head + b"Host: x\r\nContent-Length: 0\r\n\r\n")
-            said = await reader.read()
+            response = await reader.read()
             writer.close()
-            return said
+            return response
 
         user, worker = await asyncio.gather(
             ask(b"GET /ready HTTP/1.1\r\n"), ask(b"POST /checkin HTTP/1.1\r\n")
         )
         listening.close()
-        assert user.startswith(b"HTTP/1.1 503 ") and b"retry-after: 2" in user.lower()
+        assert user.startswith(b"HTTP/1.1 503 ")
+        assert b"retry-after: 2" in user.lower()
         assert worker == b""
 
     asyncio.run(asyncio.wait_for(main(), 20.0))
--- /dev/null
+++ b/petrelthread/http/test_server.py
@@ -0,0 +1,68 @@
+"""The server over real sockets on loopback."""
+
+from __future__ import annotations
+
+import asyncio
+
+import orjson
+import pytest
+
+from petrelthread.http import Client, Response, Server, json_response
+
+
+async def echo(method: str, target: str, body: bytes) -> Response:
+    if target == "/boom":
+        raise RuntimeError("boom")
+    return json_response(200, {"method": method, "target": target, "size": len(body)})
+
+
+async def listening() -> tuple[asyncio.Server, str]:
+    server = await Server(echo, 100).listen("127.0.0.1", 0)
+    return server, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+
+
+async def exchange_raw(addr: str, data: bytes) -> bytes:
+    host, _, port = addr.partition(":")
+    reader, writer = await asyncio.open_connection(host, int(port))
+    writer.write(data)
+    async with asyncio.timeout(5):
+        response = await reader.read(65536)
+    writer.close()
+    return response
+
+
+def test_requests_on_one_connection_and_a_failing_handler() -> None:
+    async def main() -> None:
+        server, addr = await listening()
+        client = Client()
+        for size in (0, 10, 60_000):
+            reply = await client.request(addr, "POST", "/x?y=1", "a" * size)
+            assert reply.status == 200
+            assert orjson.loads(reply.body)["size"] == size + 2
+        reply = await client.request(addr, "GET", "/boom")
+        assert reply.status == 503  # a response, though the handler raised
+        server.close()
+
+    asyncio.run(main())
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"nonsense\r\n\r\n",
+        b"GET / HTTP/9.9\r\n\r\n",
+        b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: zero\r\n\r\n",
+        b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n" + b"a" * 70000,
+        b"GET /" + b"a" * 20000 + b" HTTP/1.1\r\nHost: x\r\n\r\n",
+    ],
+    ids=["no HTTP", "version", "content length", "body too large", "line too long"],
+)
+def test_malformed_requests_are_answered_with_400(data: bytes) -> None:
+    async def main() -> None:
+        server, addr = await listening()
+        response = await exchange_raw(addr, data)
+        assert response.startswith(b"HTTP/1.1 400 "), response[:80]
+        assert b'{"error":' in response
+        server.close()
+
+    asyncio.run(main())
