--- a/petrelthread/http/server_connection.py
+++ b/petrelthread/http/server_connection.py
@@ -109,9 +109,9 @@
         """Read the next request; None if the connection ends instead or the request is shed."""
         self._table.mark_idle(self._writer)
         async with asyncio.timeout(IDLE_TIMEOUT_S):
-            head = await self._next_event(needs_admission=True)
+            head = await self._read_head()
         self._table.mark_busy(self._writer)
-        if not isinstance(head, h11.Request):
+        if head is None:
             return None
         _check_head(head)
         async with asyncio.timeout(BODY_TIMEOUT_S):
@@ -119,43 +119,44 @@
         target = head.target.decode("ascii", "replace")
         return HttpRequest(head.method.decode("ascii"), target, body)
 
-    async def _read_body(self) -> bytes:
-        parts: list[bytes] = []
-        size = 0
-        while True:
-            event = await self._next_event()
-            if isinstance(event, h11.EndOfMessage):
-                return b"".join(parts)
-            if not isinstance(event, h11.Data):
-                raise h11.RemoteProtocolError("connection ended within a request")
-            size += len(event.data)
-            if size > MAX_BODY_BYTES:
-                raise BodyTooLargeError
-            parts.append(bytes(event.data))
-
-    async def _next_event(
-        self, needs_admission: bool = False
-    ) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-        """Read until the parser has an event.
-
-        ``needs_admission``: the event begins a request, which the load shedder has to admit before
-        it is parsed. A request that is shed ends the connection.
-        """
+    async def _read_head(self) -> h11.Request | None:
+        """Read a request's head, which the load shedder has to admit before it is parsed."""
+        admitted = False
         while True:
             event = self._parser.next_event()
             if event is not h11.NEED_DATA:
-                return event
-            if self._parser.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self._writer.write(self._parser.send(go_on) or b"")
+                return event if isinstance(event, h11.Request) else None
             data = await self._reader.read(READ_SIZE_BYTES)
-            if needs_admission and data:
-                needs_admission = False
+            if data and not admitted:
                 self._table.mark_busy(self._writer)  # the wait from here on is not the client's
-                if not await self._is_admitted(data):
-                    return h11.ConnectionClosed()
+                admitted = await self._is_admitted(data)
+                if not admitted:
+                    return None
             self._parser.receive_data(data)
 
+    async def _read_body(self) -> bytes:
+        parts: list[bytes] = []
+        size = 0
+        while True:
+            event = self._parser.next_event()
+            if event is h11.NEED_DATA:
+                await self._receive_body_data()
+            elif isinstance(event, h11.EndOfMessage):
+                return b"".join(parts)
+            elif isinstance(event, h11.Data):
+                size += len(event.data)
+                if size > MAX_BODY_BYTES:
+                    raise BodyTooLargeError
+                parts.append(bytes(event.data))
+            else:
+                raise h11.RemoteProtocolError("connection ended within a request")
+
+    async def _receive_body_data(self) -> None:
+        if self._parser.they_are_waiting_for_100_continue:
+            go_on = h11.InformationalResponse(status_code=100, headers=[])
+            self._writer.write(self._parser.send(go_on) or b"")
+        self._parser.receive_data(await self._reader.read(READ_SIZE_BYTES))
+
     async def _is_admitted(self, data: bytes) -> bool:
         """Wait until the request that begins with ``data`` may be parsed; False if it must not."""
         source = _request_source(data)
