--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -231,13 +231,13 @@
             self._transition(Role.FOLLOWER, str(lost))
             await self._revoke(lease_id)
             return
-        self._on_elected(record, LeaderLease(lease_id, requested_at), revision)
+        self._begin_leadership(record, LeaderLease(lease_id, requested_at), revision)
 
     def _check_epoch_is_newest(self, epoch: int) -> None:
         if self.highest_known_epoch > epoch:
             raise CampaignLostError("a newer epoch is known")
 
-    def _on_elected(self, record: LeaderRecord, lease: LeaderLease, revision: int) -> None:
+    def _begin_leadership(self, record: LeaderRecord, lease: LeaderLease, revision: int) -> None:
         """Begin to lead with what the campaign wrote."""
         self.epoch = self.fencing_token = self.highest_known_epoch = record.epoch
         self._token_raiser.pending = 0
