--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -11,7 +11,6 @@
 import asyncio
 import logging
 import random
-from typing import cast
 
 from petrelthread.leadership.campaign import Campaign, CampaignLostError
 from petrelthread.leadership.fencing_token import FencingTokenRaiser
@@ -20,6 +19,7 @@
 from petrelthread.leadership.leadership_state import LeadershipState
 from petrelthread.leadership.roles import ACTIVE_ROLES, TRANSITIONS, LeadershipListener, Role
 from petrelthread.state import IllegalTransitionError, LeaderRecord, decode_leader
+from petrelthread.state.stored_records import StoredValue
 from petrelthread.store import (
     LeaseExpiredError,
     StateClient,
@@ -147,10 +147,10 @@
 
     # ---- the leader keys -----------------------------------------------------------------------
 
-    def on_key(self, key: str, value: object, revision: int) -> None:
+    def on_key(self, key: str, value: StoredValue, revision: int) -> None:
         """Take note of a change of a leader key; ``value`` is None if the key was deleted."""
         if key == EPOCH_KEY and value is not None:
-            self._on_epoch_key(int(cast("int", value)), revision)
+            self._on_epoch_key(int(value), revision)
         elif key == LEADER_KEY:
             leader = None if value is None else decode_leader(value)
             self._on_leader_key(leader, revision)
--- a/petrelthread/leadership/leader_keys.py
+++ b/petrelthread/leadership/leader_keys.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from petrelthread import protocol
-from petrelthread.state import LeaderRecord
+from petrelthread.state import KeyKind, LeaderRecord
 from petrelthread.store import KEY_PREFIX
 
-LEADER_KEY = "lead"  # a LeaderRecord; tied to the leader's lease, so that it goes with it
-EPOCH_KEY = "epoch"  # the newest epoch or fencing token, a number that only rises
+LEADER_KEY = KeyKind.LEADER.value  # tied to the leader's lease, so that it goes with it
+EPOCH_KEY = KeyKind.EPOCH.value  # the newest epoch or fencing token; it only rises
 
 
 def leader_conditions(leader_revision: int, epoch_revision: int) -> list[protocol.Condition]:
