--- a/petrelthread/admin/controller_parts.py
+++ b/petrelthread/admin/controller_parts.py
@@ -11,8 +11,7 @@
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.peers import PeerMonitor
 from petrelthread.provisioning import Provisioner
-from petrelthread.scheduling.cluster_view import ClusterView
-from petrelthread.scheduling.scheduler import Scheduler
+from petrelthread.scheduling import ClusterView, Scheduler
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState
 from petrelthread.store import StateClient, WatchCache
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -11,8 +11,7 @@
 )
 from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.fleet import Health
-from petrelthread.scheduling.bin_packing import zone_headroom
-from petrelthread.scheduling.slot import Slot
+from petrelthread.scheduling import MachineCapacity, zone_headroom
 from petrelthread.state import Attempt, Job, OperationState
 
 EPSILON = 1e-6  # of sums of cores
@@ -119,14 +118,14 @@
     return f"team {team.name} uses {used_cores:g} of its limit of {team.cpus_max:g} cores."
 
 
-def _slots(parts: ControllerParts) -> list[Slot]:
+def _slots(parts: ControllerParts) -> list[MachineCapacity]:
     capacity = parts.view.free_capacity()
-    return [*capacity.usable.slots.values(), *capacity.surplus.slots.values()]
+    return [*capacity.usable.machines.values(), *capacity.surplus.machines.values()]
 
 
 def _placeable(parts: ControllerParts, job: Job, _now: float) -> str:
-    request = parts.view.request(job)
-    fitting = [slot for slot in _slots(parts) if slot.allowed(request) and slot.fits(request)]
+    request = parts.view.placement_request(job)
+    fitting = [slot for slot in _slots(parts) if slot.allows(request) and slot.fits(request)]
     if not fitting:
         return ""
     headroom = zone_headroom(request)
@@ -136,8 +135,8 @@
 
 
 def _no_capacity(parts: ControllerParts, job: Job, now: float) -> str:
-    request = parts.view.request(job)
-    allowed = sum(slot.allowed(request) for slot in _slots(parts))
+    request = parts.view.placement_request(job)
+    allowed = sum(slot.allows(request) for slot in _slots(parts))
     booting = sum(machine.health is Health.BOOTING for machine in parts.fleet.machines.values())
     reasons = "".join(f"; {reason}" for reason in _capacity_reasons(parts, job, now))
     return (
@@ -162,7 +161,7 @@
         f"{partitioned} machines report but do not hear us": partitioned > 0,
         f"{late} are late in booting": late > 0,
         "it has neither a deadline nor an objective, and others' work comes first": (
-            not parts.view.has_goals(job)
+            not parts.view.has_objectives(job)
         ),
         f"cut off: {cut_off}": bool(cut_off),
     }
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -34,8 +34,7 @@
     ProvisioningContext,
     ProvisioningOptions,
 )
-from petrelthread.scheduling.cluster_view import ClusterView, RunTimeEstimates
-from petrelthread.scheduling.scheduler import Scheduler
+from petrelthread.scheduling import ClusterView, RunTimeEstimates, Scheduler
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState, InternedNames
 from petrelthread.store import Request, StateClient, TokenBucket, WatchCache, WriteRates
--- a/petrelthread/controller/housekeeping.py
+++ b/petrelthread/controller/housekeeping.py
@@ -13,7 +13,7 @@
 from petrelthread.leadership import Election
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.peers import PeerMonitor
-from petrelthread.scheduling.cluster_view import ClusterView
+from petrelthread.scheduling import ClusterView
 from petrelthread.settings import Settings
 from petrelthread.store import WatchCache
 
--- a/petrelthread/controller/scheduling_loop.py
+++ b/petrelthread/controller/scheduling_loop.py
@@ -10,7 +10,7 @@
 from petrelthread.http import LoadShedder
 from petrelthread.leadership import ClaimWriter, Election
 from petrelthread.pause_detector import PauseDetector
-from petrelthread.scheduling.scheduler import MIN_RECORD_NUMBERS_LEFT, Scheduler
+from petrelthread.scheduling import MIN_RECORD_NUMBERS_LEFT, Scheduler
 
 log = logging.getLogger(__name__)
 
--- a/petrelthread/controller/state_changes.py
+++ b/petrelthread/controller/state_changes.py
@@ -12,7 +12,7 @@
 from petrelthread.admin import provisioning_options, with_defaults
 from petrelthread.leadership import ACTIVE_ROLES, Election, Role
 from petrelthread.provisioning import Provisioner, ProvisioningOptions
-from petrelthread.scheduling.scheduler import Scheduler
+from petrelthread.scheduling import Scheduler
 from petrelthread.state import ClusterState, epoch_of
 
 log = logging.getLogger(__name__)
--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -10,7 +10,7 @@
 from petrelthread.provisioning.context import ProvisioningContext
 from petrelthread.provisioning.plan import CORES_EPSILON, Demand
 from petrelthread.provisioning.reserve import Arrivals, standing_reserve
-from petrelthread.scheduling.cluster_view import ClusterView
+from petrelthread.scheduling import ClusterView
 from petrelthread.state import Job
 
 EXPECTED_MACHINES_PER_ZONE = 2  # of the smallest type, for job classes not seen yet,
@@ -103,7 +103,7 @@
         quotas = [TeamQuota(team.most_cores, team.most_accelerators) for team in self._view.teams]
         demands = self._expected_demands()
         for entry in self._view.job_order():
-            job = self._cluster_state.jobs[entry.job]
+            job = self._cluster_state.jobs[entry.job_index]
             quota = quotas[job.team]
             unfinished = self._unfinished_tasks(job, now)
             if unfinished <= 0:
@@ -151,7 +151,7 @@
             zone=job.zone,
             spot_allowed=job.spot_allowed,
             has_pending=job.pending_count > 0,
-            no_goal=not self._view.has_goals(job),
+            no_goal=not self._view.has_objectives(job),
         )
 
     def _service_demands(self, job: Job) -> list[Demand]:
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -21,7 +21,7 @@
 from petrelthread.provisioning.scale_in import ScaleInExecutor
 from petrelthread.provisioning.scale_in_selection import ScaleInSelection
 from petrelthread.provisioning.scale_out import ScaleOutExecutor
-from petrelthread.scheduling.cluster_view import ClusterView
+from petrelthread.scheduling import ClusterView
 from petrelthread.state import OperationState, transition
 
 log = logging.getLogger(__name__)
--- a/petrelthread/scheduling/capacity_index.py
+++ b/petrelthread/scheduling/capacity_index.py
@@ -1,9 +1,9 @@
-"""Free room by machine, ordered so that a decision looks at few machines.
+"""Free capacity by machine, ordered so that a decision examines few machines.
 
-Machines of one type, zone and kind form a group: a request allows all of a group or none of it.
-Within a group they are sorted by the machine rule's order, the roomiest first, and for each image
-the machines that cache it are known. Weighed against buckets and a plain list in
-``docs/free-room.md``.
+Machines of one type, zone and kind (spot or on-demand) form a group: a request allows all of a
+group or none of it. Within a group they are sorted by the machine rule's order, most free first,
+and for each image the machines that cache it are known. ``docs/free-room.md`` compares this with
+buckets and with a plain list.
 """
 
 from __future__ import annotations
@@ -15,212 +15,256 @@
 
 from sortedcontainers import SortedList
 
-from petrelthread.scheduling.slot import EPS, PlacementRequest, Slot
+from petrelthread.scheduling.machine_capacity import MachineCapacity
+from petrelthread.scheduling.placement_request import PlacementRequest
+from petrelthread.scheduling.tolerance import CAPACITY_TOLERANCE
 
-Position = tuple[float, float, int]  # minus free cores, minus free memory, machine
-GroupKey = tuple[int, int, bool]  # type, zone, spot
+# Minus free cores, minus free memory, machine index. Plain tuples: they are compared very often.
+Position = tuple[float, float, int]
 
 
-def _position(slot: Slot) -> Position:
-    return (-slot.cores, -slot.ram_gb, slot.machine)
+def _position(machine: MachineCapacity) -> Position:
+    return (-machine.cores, -machine.ram_gb, machine.machine_index)
 
 
 class _Group:
     """Machines that every request either may use or may not."""
 
-    __slots__ = ("by_image", "by_room")
+    __slots__ = ("by_free_capacity", "by_image", "machine_type", "spot", "zone")
 
-    def __init__(self) -> None:
-        self.by_room: SortedList[Position] = SortedList()
+    def __init__(self, machine_type: int, zone: int, spot: bool) -> None:
+        self.machine_type = machine_type
+        self.zone = zone
+        self.spot = spot
+        self.by_free_capacity: SortedList[Position] = SortedList()
         self.by_image: dict[int, set[int]] = {}
 
-    def with_room(self, cores: float) -> int:
-        """How many machines have so many cores free: they are the first of ``by_room``."""
-        return self.by_room.bisect_right((EPS - cores, math.inf, 0))
+    def add_images(self, images: Iterable[int], machine_index: int) -> None:
+        for image in images:
+            self.by_image.setdefault(image, set()).add(machine_index)
+
+    def discard_images(self, images: Iterable[int], machine_index: int) -> None:
+        for image in images:
+            caching = self.by_image[image]
+            caching.discard(machine_index)
+            if not caching:
+                del self.by_image[image]
+
+    def count_with_cores(self, cores: float) -> int:
+        """How many machines have so many cores free: the first of ``by_free_capacity``."""
+        return self.by_free_capacity.bisect_right((CAPACITY_TOLERANCE - cores, math.inf, 0))
+
 
+class _IndexEntry:
+    """Under what a machine is filed at present."""
 
-class RoomIndex:
-    """Slots by machine. ``looked_at`` counts the machines that queries have examined.
+    __slots__ = ("group", "images", "position")
 
-    Decisions of a round change slots in place and call ``moved``; ``touched`` says which machines
-    differ from what is really there until they are put anew.
+    def __init__(self, group: _Group, position: Position, images: set[int]) -> None:
+        self.group = group
+        self.position = position
+        self.images = images
+
+
+class CapacityIndex:
+    """Free capacity of machines, by machine index.
+
+    Decisions of a round change a ``MachineCapacity`` in place and call ``reindex``;
+    ``modified_machines`` then holds the machines that differ from the real state until they are put
+    anew. ``examined_count`` counts the machines that queries have examined.
     """
 
-    def __init__(self, slots: Iterable[Slot] = ()) -> None:
-        self.slots: dict[int, Slot] = {}
-        self.touched: set[int] = set()
-        self.looked_at = 0
-        self._groups: dict[GroupKey, _Group] = {}
-        self._indexed: dict[int, tuple[GroupKey, Position, set[int]]] = {}
-        for slot in slots:
-            self.put(slot)
+    def __init__(self, machines: Iterable[MachineCapacity] = ()) -> None:
+        self.machines: dict[int, MachineCapacity] = {}
+        self.modified_machines: set[int] = set()
+        self.examined_count = 0
+        self._groups: dict[tuple[int, int, bool], _Group] = {}  # by type, zone and spot
+        self._entries: dict[int, _IndexEntry] = {}
+        for machine in machines:
+            self.put(machine)
 
     # ---- changes ----------------------------------------------------------------------------
 
-    def put(self, slot: Slot) -> None:
+    def put(self, machine: MachineCapacity) -> None:
         """Add a machine, or replace what is known of it."""
-        self.discard(slot.machine)
-        key = (slot.machine_type, slot.zone, slot.spot)
+        self.discard(machine.machine_index)
+        key = (machine.machine_type, machine.zone, machine.spot)
         group = self._groups.get(key)
         if group is None:
-            group = self._groups[key] = _Group()
-        position = _position(slot)
-        group.by_room.add(position)
-        for image in slot.images:
-            group.by_image.setdefault(image, set()).add(slot.machine)
-        self.slots[slot.machine] = slot
-        self._indexed[slot.machine] = (key, position, set(slot.images))
-
-    def discard(self, machine: int) -> None:
-        """Remove a machine, if it is there."""
-        indexed = self._indexed.pop(machine, None)
-        if indexed is None:
+            group = self._groups[key] = _Group(*key)
+        position = _position(machine)
+        group.by_free_capacity.add(position)
+        group.add_images(machine.images, machine.machine_index)
+        self.machines[machine.machine_index] = machine
+        self._entries[machine.machine_index] = _IndexEntry(group, position, set(machine.images))
+
+    def discard(self, machine_index: int) -> None:
+        """Remove a machine, if it is in the index."""
+        entry = self._entries.pop(machine_index, None)
+        if entry is None:
             return
-        key, position, images = indexed
-        group = self._groups[key]
-        group.by_room.remove(position)
-        for image in images:
-            group.by_image[image].discard(machine)
-            if not group.by_image[image]:
-                del group.by_image[image]
-        if not group.by_room:
-            del self._groups[key]
-        del self.slots[machine]
-
-    def moved(self, slot: Slot) -> None:
-        """A decision has taken room or added an image; bring the order up to date."""
-        key, position, images = self._indexed[slot.machine]
-        group = self._groups[key]
-        group.by_room.remove(position)
-        position = _position(slot)
-        group.by_room.add(position)
-        for image in slot.images - images:
-            group.by_image.setdefault(image, set()).add(slot.machine)
-        self._indexed[slot.machine] = (key, position, images | slot.images)
-        self.touched.add(slot.machine)
-
-    def withhold(self, machine: int) -> None:
+        group = entry.group
+        group.by_free_capacity.remove(entry.position)
+        group.discard_images(entry.images, machine_index)
+        if not group.by_free_capacity:
+            del self._groups[group.machine_type, group.zone, group.spot]
+        del self.machines[machine_index]
+
+    def reindex(self, machine: MachineCapacity) -> None:
+        """Restore the order after a decision has taken capacity or added an image."""
+        entry = self._entries[machine.machine_index]
+        group = entry.group
+        group.by_free_capacity.remove(entry.position)
+        entry.position = _position(machine)
+        group.by_free_capacity.add(entry.position)
+        new_images = machine.images - entry.images
+        if new_images:
+            group.add_images(new_images, machine.machine_index)
+            entry.images |= new_images
+        self.modified_machines.add(machine.machine_index)
+
+    def withhold(self, machine_index: int) -> None:
         """Leave a machine out until it is put anew."""
-        self.discard(machine)
-        self.touched.add(machine)
+        self.discard(machine_index)
+        self.modified_machines.add(machine_index)
 
     # ---- queries ----------------------------------------------------------------------------
 
-    def _allowed(self, request: PlacementRequest, zone: int | None) -> list[tuple[int, _Group]]:
-        """Zone and group, for each group that the request may use."""
+    def _allowed_groups(self, request: PlacementRequest, zone: int | None) -> list[_Group]:
+        """The groups that the request may use, in the given zone if there is one."""
         return [
-            (key[1], group)
-            for key, group in self._groups.items()
-            if (request.spot_allowed or not key[2])
-            and (request.machine_types is None or key[0] in request.machine_types)
-            and (request.zone is None or key[1] == request.zone)
-            and (zone is None or key[1] == zone)
+            group
+            for group in self._groups.values()
+            if (request.spot_allowed or not group.spot)
+            and (request.machine_types is None or group.machine_type in request.machine_types)
+            and (request.zone is None or group.zone == request.zone)
+            and (zone is None or group.zone == zone)
         ]
 
-    def _fits(self, slot: Slot, request: PlacementRequest) -> bool:
-        self.looked_at += 1
-        return slot.machine not in request.excluded_machines and slot.fits(request)
+    def _examine(self, machine: MachineCapacity, request: PlacementRequest) -> bool:
+        """Whether a machine of an allowed group takes one task; counts it as examined."""
+        self.examined_count += 1
+        return machine.machine_index not in request.excluded_machines and machine.fits(request)
 
-    def fitting(
+    def fitting_by_group(
         self, request: PlacementRequest, zone: int | None = None
-    ) -> Iterator[tuple[int, Iterator[Slot]]]:
-        """For each group that is allowed: its zone and the fitting slots, the roomiest first."""
-        for group_zone, group in self._allowed(request, zone):
-            yield group_zone, self._fitting_in(group, request)
+    ) -> Iterator[tuple[int, Iterator[MachineCapacity]]]:
+        """For each allowed group: its zone and the fitting machines, most free first."""
+        for group in self._allowed_groups(request, zone):
+            yield group.zone, self._fitting_in(group, request)
 
-    def _fitting_in(self, group: _Group, request: PlacementRequest) -> Iterator[Slot]:
-        for position in islice(group.by_room, group.with_room(request.cores)):
-            slot = self.slots[position[2]]
-            if self._fits(slot, request):
-                yield slot
+    def _fitting_in(self, group: _Group, request: PlacementRequest) -> Iterator[MachineCapacity]:
+        for position in islice(group.by_free_capacity, group.count_with_cores(request.cores)):
+            machine = self.machines[position[2]]
+            if self._examine(machine, request):
+                yield machine
 
     def fits_somewhere(self, request: PlacementRequest) -> bool:
-        """Whether one task of the request has room on any machine."""
-        return any(next(slots, None) is not None for _, slots in self.fitting(request))
-
-    def cached(self, request: PlacementRequest, most: int, zone: int | None = None) -> list[Slot]:
-        """Fitting slots that cache the image: of each group at least the roomiest ``most``."""
-        found: list[Slot] = []
-        for _, group in self._allowed(request, zone):
-            machines = group.by_image.get(request.image)
-            if machines:
-                found += self._cached_in(group, machines, request, most)
-        return found
+        """Whether one task of the request fits on any machine."""
+        return any(
+            next(machines, None) is not None for _, machines in self.fitting_by_group(request)
+        )
+
+    def cached_candidates(
+        self, request: PlacementRequest, count: int, zone: int | None = None
+    ) -> list[MachineCapacity]:
+        """Fitting machines that cache the image: of each group at least the ``count`` freest."""
+        candidates: list[MachineCapacity] = []
+        for group in self._allowed_groups(request, zone):
+            caching = group.by_image.get(request.image)
+            if caching:
+                candidates += self._cached_in(group, caching, request, count)
+        return candidates
 
     def _cached_in(
-        self, group: _Group, machines: set[int], request: PlacementRequest, most: int
-    ) -> list[Slot]:
-        """Either list is walked no further than the shorter of the two is long.
+        self, group: _Group, caching: set[int], request: PlacementRequest, count: int
+    ) -> list[MachineCapacity]:
+        """Fitting machines of one group that cache the image, at least the ``count`` freest.
 
-        Where many machines cache the image, the first of the roomiest soon do; where few do, these
-        few are looked at.
+        Neither the machines by free capacity nor those that cache the image are walked further than
+        the shorter of the two lists. Where many machines cache the image, the freest ones soon
+        include enough of them; where few do, these few are examined.
         """
-        with_room = group.with_room(request.cores)
-        found: list[Slot] = []
-        for position in islice(group.by_room, min(with_room, len(machines))):
-            if position[2] in machines:
-                slot = self.slots[position[2]]
-                if self._fits(slot, request):
-                    found.append(slot)
-                    if len(found) >= most:
-                        return found
-            else:
-                self.looked_at += 1
-        if with_room <= len(machines):
-            return found
-        fitting = (self.slots[machine] for machine in machines)
-        return [slot for slot in fitting if self._fits(slot, request)]
-
-    def uncached(
-        self, request: PlacementRequest, zone: int | None = None, full: Collection[int] = ()
-    ) -> Iterator[Slot]:
-        """Fitting slots that do not cache the image, the roomiest first.
-
-        ``full``: zones that may take no more; looked at anew before each slot.
+        with_cores = group.count_with_cores(request.cores)
+        candidates: list[MachineCapacity] = []
+        for position in islice(group.by_free_capacity, min(with_cores, len(caching))):
+            if position[2] not in caching:
+                self.examined_count += 1
+                continue
+            machine = self.machines[position[2]]
+            if self._examine(machine, request):
+                candidates.append(machine)
+                if len(candidates) >= count:
+                    return candidates
+        if with_cores <= len(caching):
+            return candidates
+        machines = (self.machines[machine_index] for machine_index in caching)
+        return [machine for machine in machines if self._examine(machine, request)]
+
+    def uncached_candidates(
+        self, request: PlacementRequest, zone: int | None = None, full_zones: Collection[int] = ()
+    ) -> Iterator[MachineCapacity]:
+        """Fitting machines that do not cache the image, most free first.
+
+        ``full_zones``: zones that take no more tasks; read anew before each machine.
         """
 
-        def of_group(group_zone: int, slots: Iterator[Slot]) -> Iterator[tuple[Position, Slot]]:
-            for slot in slots:
-                if group_zone in full:
+        def of_group(
+            group_zone: int, machines: Iterator[MachineCapacity]
+        ) -> Iterator[tuple[Position, MachineCapacity]]:
+            for machine in machines:
+                if group_zone in full_zones:
                     return
-                if request.image not in slot.images:
-                    yield _position(slot), slot
-
-        groups = [of_group(*found) for found in self.fitting(request, zone)]
-        return (slot for _, slot in heapq.merge(*groups, key=lambda found: found[0]))
-
-    def candidates(
-        self, request: PlacementRequest, most: int, zone: int | None = None
-    ) -> list[Slot]:
-        """Of each group the fitting slots that come first by the machine rule, at least ``most`` of
-        them if there are so many."""
-        found: list[Slot] = []
-        for _, group in self._allowed(request, zone):
-            machines = group.by_image.get(request.image, set())
-            cached = self._cached_in(group, machines, request, most)
-            found += cached
-            if len(cached) < most:
-                slots = self._fitting_in(group, request)
-                others = (slot for slot in slots if slot.machine not in machines)
-                found += islice(others, most)
-        return found
-
-    def roomiest(
-        self, request: PlacementRequest, types: Collection[int], without: Collection[int]
-    ) -> Slot | None:
-        """The allowed machine of these types with most free, whether or not the request fits."""
+                if request.image not in machine.images:
+                    yield _position(machine), machine
+
+        groups = [of_group(*group) for group in self.fitting_by_group(request, zone)]
+        merged = heapq.merge(*groups, key=lambda positioned: positioned[0])
+        return (machine for _, machine in merged)
+
+    def best_candidates(
+        self, request: PlacementRequest, count: int, zone: int | None = None
+    ) -> list[MachineCapacity]:
+        """Of each group the ``count`` fitting machines that come first by the machine rule.
+
+        A group may contribute more than ``count``, or fewer if it has not so many.
+        """
+        candidates: list[MachineCapacity] = []
+        for group in self._allowed_groups(request, zone):
+            caching = group.by_image.get(request.image, set())
+            cached = self._cached_in(group, caching, request, count)
+            candidates += cached
+            if len(cached) < count:
+                fitting = self._fitting_in(group, request)
+                uncached = (machine for machine in fitting if machine.machine_index not in caching)
+                candidates += islice(uncached, count)
+        return candidates
+
+    def most_free(
+        self, request: PlacementRequest, machine_types: Collection[int], exclude: Collection[int]
+    ) -> MachineCapacity | None:
+        """The allowed machine of these types with most free, whether or not the request fits.
+
+        ``exclude``: indexes of machines that do not come into question.
+        """
         firsts = []
-        for (machine_type, _, _), group in self._groups.items():
-            if machine_type not in types:
-                continue
-            for position in group.by_room:
-                self.looked_at += 1
-                slot = self.slots[position[2]]
-                if not slot.allowed(request):
-                    if slot.machine in request.excluded_machines:
-                        continue
-                    break
-                if slot.machine not in without:
-                    firsts.append(slot)
-                    break
+        for group in self._groups.values():
+            if group.machine_type in machine_types:
+                first = self._most_free_in(group, request, exclude)
+                if first is not None:
+                    firsts.append(first)
         return min(firsts, key=_position, default=None)
+
+    def _most_free_in(
+        self, group: _Group, request: PlacementRequest, exclude: Collection[int]
+    ) -> MachineCapacity | None:
+        for position in group.by_free_capacity:
+            self.examined_count += 1
+            machine = self.machines[position[2]]
+            if machine.machine_index in request.excluded_machines:
+                continue
+            if not machine.allows(request):
+                return None  # nor is any other machine of the group allowed
+            if machine.machine_index not in exclude:
+                return machine
+        return None
--- /dev/null
+++ b/petrelthread/scheduling/claim_applier.py
@@ -0,0 +1,134 @@
+"""What a committed claim changes here: state, dispatch of commands, and the debug log."""
+
+from __future__ import annotations
+
+import logging
+import time
+
+from petrelthread import protocol
+from petrelthread.fleet import CommandDispatcher, Fleet
+from petrelthread.scheduling.cluster_view import ClusterView
+from petrelthread.scheduling.round_claim import RoundClaim
+from petrelthread.scheduling.start_log import StartLog
+from petrelthread.scheduling.start_validator import StartValidator
+from petrelthread.state import (
+    TASK_FINISHED,
+    Attempt,
+    ClusterState,
+    FinishedTasksRecord,
+    Job,
+    OperationState,
+)
+
+log = logging.getLogger(__name__)
+
+
+class ClaimApplier:
+    """Applies committed claims to the cluster state and sends their commands."""
+
+    def __init__(
+        self,
+        cluster_state: ClusterState,
+        fleet: Fleet,
+        dispatch: CommandDispatcher,
+        view: ClusterView,
+        validator: StartValidator,
+        obsolete_keys: list[str],
+    ) -> None:
+        """``obsolete_keys``: keys to be deleted; those that a claim deleted are removed."""
+        self._cluster_state = cluster_state
+        self._fleet = fleet
+        self._dispatch = dispatch
+        self._view = view
+        self._validator = validator
+        self._obsolete_keys = obsolete_keys
+        self._start_log = StartLog(cluster_state, fleet)
+
+    def apply(self, claim: RoundClaim, now: float) -> None:
+        """Apply a committed claim; ``now``: when its round was decided, in event loop time."""
+        for key in claim.deleted_keys:
+            self._apply_deletion(key)
+        self._cluster_state.machines_by_failing_job.update(claim.suspects)
+        for job in claim.completed:
+            self._complete(job)
+        if claim.done_number:
+            self._cluster_state.apply_finished_tasks(claim.done_number, claim.done_record)
+            self._forget_recorded_tasks(claim.done_record)
+        launched = self._apply_starts(claim, now)
+        stopped = [attempt for attempt in claim.stops if attempt.stop_requested_at]
+        for attempt in stopped:
+            attempt.stop_requested_at = now
+        self._dispatch.send(launched, stopped)
+
+    def _apply_starts(self, claim: RoundClaim, now: float) -> list[Attempt]:
+        """The attempts to be sent."""
+        unsent = self._no_longer_allowed(claim)
+        launched: list[Attempt] = []
+        for number, record in claim.records:
+            launched += self._cluster_state.apply_round(
+                number, record, OperationState.DISPATCHING, unsent
+            )
+        for attempt in launched:
+            attempt.job.last_start_at = time.time()
+            self._start_log.write(attempt)
+        return launched
+
+    def _no_longer_allowed(self, claim: RoundClaim) -> set[tuple[int, int]]:
+        """Job index and task of starts that events during the claim forbid.
+
+        A heartbeat may have shown the task elsewhere, or the machine may have been lost. Such a
+        start is on record and is not sent.
+        """
+        refused = self._validator.check(claim.starts).refused
+        for start, violation in refused:
+            log.info(
+                "start of %s/%d on %s is not sent: %s since it was decided",
+                start.job.id,
+                start.task,
+                start.machine.name,
+                violation.value,
+            )
+        return {(start.job.index, start.task) for start, _ in refused}
+
+    def _complete(self, job: Job) -> None:
+        self._fleet.finished_tasks.pop(job.index, None)
+        for attempt in list(job.live_attempts.values()):
+            self._cluster_state.release(attempt, done=True)
+        self._cluster_state.set_final_status(job.id, protocol.JobStatus.DONE)
+        log.debug(
+            "done %s (%s of %s): %d tasks, %.1f s after it was accepted, %.1f s at best",
+            job.id,
+            self._cluster_state.names.job_classes.name(job.job_class),
+            self._cluster_state.names.teams.name(job.team),
+            job.task_count,
+            time.time() - job.accepted_at,
+            self._view.wave_count(job, job.task_count) * self._view.estimates.run_s(job),
+        )
+
+    def _apply_deletion(self, key: str) -> None:
+        kind, _, rest = key.partition("/")
+        if kind == "r":
+            self._cluster_state.attempts_by_round.pop(int(rest), None)
+        elif kind == "d":
+            self._cluster_state.open_jobs_by_done_record.pop(int(rest), None)
+        elif kind == "s":
+            self._cluster_state.machines_by_failing_job.pop(rest, None)
+        elif key in self._obsolete_keys:
+            self._obsolete_keys.remove(key)
+
+    def _forget_recorded_tasks(self, done_record: FinishedTasksRecord) -> None:
+        """Drop finished tasks that are on record now."""
+        for finished in done_record:
+            job = self._cluster_state.jobs_by_id[finished.job_id]
+            tasks = self._fleet.finished_tasks.get(job.index)
+            if tasks is None:
+                continue
+            unrecorded = {
+                task
+                for task in tasks
+                if job.final_status is None and job.task_states[task] != TASK_FINISHED
+            }
+            if unrecorded:
+                self._fleet.finished_tasks[job.index] = unrecorded
+            else:
+                del self._fleet.finished_tasks[job.index]
--- /dev/null
+++ b/petrelthread/scheduling/claim_builder.py
@@ -0,0 +1,217 @@
+"""Builds the transaction of one round, within the limits of the state service."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from typing import NamedTuple
+
+from petrelthread import protocol
+from petrelthread.fleet import Fleet
+from petrelthread.scheduling.round_claim import NumberedRecord, RoundClaim
+from petrelthread.scheduling.start_validator import Start, StartValidator
+from petrelthread.settings import State
+from petrelthread.state import (
+    STOP_MARKER,
+    TASK_FINISHED,
+    Attempt,
+    ClusterState,
+    Job,
+    Placement,
+    RoundRecord,
+    pack_finished_tasks,
+    pack_round_records,
+)
+from petrelthread.store import KEY_PREFIX
+
+CONDITIONS_PER_OPERATION = 4  # that a transaction may have for each operation that it may have
+FENCING_CONDITIONS = 3  # of each claim: leader key, epoch and its marker
+RESERVED_OPERATIONS = 3  # of a transaction that completed jobs leave to the rest of a round
+VALUE_SIZE_SHARE = 0.85  # of the largest value that the state service stores
+KIB = 1024
+
+
+class _FinishedWork(NamedTuple):
+    """Finished tasks that are not on record yet."""
+
+    completed: list[Job]
+    tasks_by_job: dict[str, list[int]]  # by id, of jobs that are not complete
+
+
+class ClaimBuilder:
+    """Puts together the claim of one round: ends, starts, stops, suspects and deletions."""
+
+    def __init__(
+        self,
+        limits: State,
+        cluster_state: ClusterState,
+        fleet: Fleet,
+        validator: StartValidator,
+        next_record_number: Callable[[], int],
+        spare_writes: Callable[[float], int],
+        obsolete_keys: Sequence[str],
+    ) -> None:
+        """Initialize the builder.
+
+        Args:
+            limits: of the state service.
+            cluster_state: jobs, attempts and records.
+            fleet: finished tasks and failures of jobs.
+            validator: makes the last check of the starts.
+            next_record_number: draws a number that was never used.
+            spare_writes: how many writes deletions may take at a time of the event loop's clock.
+            obsolete_keys: settled records besides those of rounds, to be deleted; others add to it.
+        """
+        self._cluster_state = cluster_state
+        self._fleet = fleet
+        self._validator = validator
+        self._next_record_number = next_record_number
+        self.spare_writes = spare_writes
+        self._obsolete_keys = obsolete_keys
+        self._max_value_bytes = int(limits.value_kb * KIB * VALUE_SIZE_SHARE)
+        self._max_operations = limits.txn_ops
+
+    def build(self, starts: list[Start], stops: list[Attempt], now: float) -> RoundClaim:
+        """The claim for what a round decided; its starts are validated here."""
+        claim = RoundClaim(stops=stops)
+        self._add_finished(claim)
+        self._add_starts_and_stops(claim, starts)
+        self._add_suspects(claim)
+        self._add_deletions(claim, now)
+        return claim
+
+    # ---- finished tasks -----------------------------------------------------------------------
+
+    def _add_finished(self, claim: RoundClaim) -> None:
+        finished = self._collect_finished()
+        # One key records that a job is complete, and stands for all its tasks.
+        claim.completed = finished.completed[: max(1, self._max_operations - RESERVED_OPERATIONS)]
+        for job in claim.completed:
+            key = f"f/{job.id}"
+            claim.put(key, protocol.JobStatus.DONE)
+            claim.absent_keys.append(key)
+        if finished.tasks_by_job:
+            claim.done_record, _ = pack_finished_tasks(finished.tasks_by_job, self._max_value_bytes)
+            claim.done_number = self._next_record_number()
+            claim.marker = f"d/{claim.done_number}"
+            claim.put(claim.marker, claim.done_record)
+
+    def _collect_finished(self) -> _FinishedWork:
+        """What finished and is not on record; forgets what is settled by other means."""
+        finished = _FinishedWork([], {})
+        for job_index, reported in list(self._fleet.finished_tasks.items()):
+            job = self._cluster_state.jobs[job_index]
+            if job.final_status is not None:
+                del self._fleet.finished_tasks[job_index]
+                self._release_exited(job)
+                continue
+            # Another leader, or a claim of ours that was given up, may have recorded some of them.
+            # Counted twice, they would make the job complete too soon.
+            tasks = {task for task in reported if job.task_states[task] != TASK_FINISHED}
+            if not tasks and job.done_count < job.task_count:
+                del self._fleet.finished_tasks[job_index]
+                continue
+            self._fleet.finished_tasks[job_index] = tasks
+            if job.done_count + len(tasks) >= job.task_count:
+                finished.completed.append(job)
+            else:
+                finished.tasks_by_job[job.id] = list(tasks)
+        return finished
+
+    def _release_exited(self, job: Job) -> None:
+        for attempt in list(job.live_attempts.values()):
+            if attempt.has_exited:
+                self._cluster_state.release(attempt, done=True)
+
+    # ---- starts and stops ---------------------------------------------------------------------
+
+    def _add_starts_and_stops(self, claim: RoundClaim, decided: list[Start]) -> None:
+        admitted = self._validator.admit(decided).admitted
+        starts = self._require_unfinished(admitted, claim.absent_keys)
+        postponed = len(starts) < len(admitted)
+        max_records = max(1, self._max_operations - len(claim.operations))
+        packed = self._pack(starts, claim.stops)
+        # A gang starts as a whole: one whose starts would not all be in this claim waits for the
+        # next round. Without it the records are packed anew.
+        while split := _split_gangs(packed, starts, max_records):
+            starts = [start for start in starts if start.job.id not in split]
+            packed, postponed = self._pack(starts, claim.stops), True
+        for record in packed[:max_records]:
+            number = self._next_record_number()
+            key = f"r/{number}"
+            claim.records.append(NumberedRecord(number, record))
+            claim.put(key, record)
+            claim.marker = claim.marker or key
+        recorded = _started_tasks(packed[:max_records])
+        claim.starts = [start for start in starts if (start.job.id, start.task) in recorded]
+        claim.has_more = postponed or len(claim.records) < len(packed)
+
+    def _require_unfinished(self, starts: list[Start], absent_keys: list[str]) -> list[Start]:
+        """Make the claim depend on each job being neither complete nor cancelled.
+
+        A cancellation may be confirmed by another controller before the watch cache here shows it,
+        and from then on no task of the job may start. Adds to ``absent_keys``; starts of jobs for
+        which one transaction has no condition left are not returned.
+        """
+        available = (
+            CONDITIONS_PER_OPERATION * self._max_operations - len(absent_keys) - FENCING_CONDITIONS
+        )
+        job_ids = list(dict.fromkeys(start.job.id for start in starts))[: max(1, available)]
+        absent_keys += [f"f/{job_id}" for job_id in job_ids]
+        covered = set(job_ids)
+        return [start for start in starts if start.job.id in covered]
+
+    def _pack(self, starts: list[Start], stops: list[Attempt]) -> list[RoundRecord]:
+        entries = [
+            Placement(machine.name, machine.incarnation, job.id, task)
+            for job, task, machine in starts
+        ]
+        entries += [Placement(STOP_MARKER, 0, attempt.job.id, attempt.task) for attempt in stops]
+        return pack_round_records(entries, self._max_value_bytes)
+
+    # ---- the rest -----------------------------------------------------------------------------
+
+    def _add_suspects(self, claim: RoundClaim) -> None:
+        suspects = self._fleet.job_failures.new_suspects()
+        available = max(0, self._max_operations - len(claim.operations))
+        for job_id in list(suspects)[:available]:
+            claim.suspects[job_id] = suspects[job_id]
+            claim.put(f"s/{job_id}", suspects[job_id])
+
+    def _add_deletions(self, claim: RoundClaim, now: float) -> None:
+        """Delete settled records, as far as the write rate has capacity to spare.
+
+        A claim that waits for its turn behind deletions would keep tasks waiting.
+        """
+        cluster_state = self._cluster_state
+        settled = [f"r/{number}" for number in cluster_state.settled_rounds()]
+        settled += [f"d/{number}" for number in cluster_state.obsolete_done_records()]
+        settled += self._obsolete_keys
+        settled += [f"s/{job_id}" for job_id in self._fleet.job_failures.cleared_suspects()]
+        written = len(claim.operations)
+        available = min(self._max_operations - written, self.spare_writes(now) - written)
+        claim.deleted_keys = settled[: max(0, available)]
+        for key in claim.deleted_keys:
+            claim.operations.append(protocol.DeleteOperation(KEY_PREFIX + key))
+
+
+def _started_tasks(packed: list[RoundRecord]) -> set[tuple[str, int]]:
+    """Job id and task of each start in packed records."""
+    return {
+        (tasks_of_job.job_id, task)
+        for record in packed
+        for entry in record
+        if not entry.is_stop
+        for tasks_of_job in entry.jobs
+        for task in tasks_of_job.tasks
+    }
+
+
+def _split_gangs(packed: list[RoundRecord], starts: list[Start], max_records: int) -> set[str]:
+    """Ids of gangs of which some tasks stand in records beyond the first ``max_records``.
+
+    A gang that alone is too large for a claim is not among them: it can't start otherwise.
+    """
+    beyond = {job_id for job_id, _ in _started_tasks(packed[max_records:])}
+    gangs = {start.job.id for start in starts if start.job.is_gang}
+    is_alone = len({start.job.id for start in starts}) == 1
+    return set() if is_alone else beyond & gangs
--- a/petrelthread/scheduling/cluster_view.py
+++ b/petrelthread/scheduling/cluster_view.py
@@ -1,4 +1,4 @@
-"""What there is and what is wanted, as the leader sees it now. Nothing here changes anything."""
+"""Read-only view of jobs, capacity and quotas, as the leader sees them now."""
 
 from __future__ import annotations
 
@@ -7,50 +7,29 @@
 from collections.abc import Callable
 
 from petrelthread import protocol
-from petrelthread.fleet import Fleet, Health
-from petrelthread.scheduling.free_capacity import FreeRoom
-from petrelthread.scheduling.job_order import UNREACHABLE_GOAL_S, QueuedJob, QueueEntry, order_jobs
+from petrelthread.fleet import Fleet
+from petrelthread.scheduling.completion_objectives import CompletionObjectives
+from petrelthread.scheduling.free_capacity import FreeCapacity
+from petrelthread.scheduling.guarantees import Guarantee
+from petrelthread.scheduling.job_order import UNREACHABLE_OBJECTIVE_S, order_jobs
+from petrelthread.scheduling.load_summary import summarize_load
 from petrelthread.scheduling.occupancy import JobOccupancy
-from petrelthread.scheduling.slot import EPS, PlacementRequest
+from petrelthread.scheduling.placement_request import PlacementRequest
+from petrelthread.scheduling.queue_entry import QueuedJob, QueueEntry
+from petrelthread.scheduling.quota import TeamUsage
+from petrelthread.scheduling.run_time_estimates import RunTimeEstimates
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState, Job
 
-DEFAULT_SPREAD = 0.3  # of run times against estimates, until some are seen
 USABLE_CORE_SHARE = 0.85  # of all cores: the rest fetch images, wait for a round or fit no task
 
 
-class RunTimeEstimates:
-    """How much longer than their owners' estimates the tasks of each class really run."""
-
-    def __init__(self) -> None:
-        self._ratio: dict[int, float] = {}
-        self._variance: dict[int, float] = {}
-        self._seen: dict[int, int] = {}
-
-    def learn(self, job: Job, ran_s: float) -> None:
-        if job.estimated_run_s <= 0:
-            return
-        ratio = min(10.0, max(0.1, ran_s / job.estimated_run_s))
-        seen = self._seen[job.job_class] = min(50, self._seen.get(job.job_class, 0) + 1)
-        old = self._ratio.get(job.job_class, 1.0)
-        self._ratio[job.job_class] = old + (ratio - old) / (seen + 2)
-        variance = self._variance.get(job.job_class, DEFAULT_SPREAD**2)
-        self._variance[job.job_class] = variance + ((ratio - old) ** 2 - variance) / (seen + 2)
-
-    def run_s(self, job: Job) -> float:
-        if job.is_service:
-            return math.inf
-        return max(0.5, job.estimated_run_s * self._ratio.get(job.job_class, 1.0))
-
-    def tail_s(self, job: Job) -> float:
-        """How much longer the last of a job's tasks is likely to run. One alone has no tail."""
-        if job.task_count < 2:
-            return 0.0
-        variance = self._variance.get(job.job_class, DEFAULT_SPREAD**2)
-        return min(job.estimated_run_s, 1.5 * math.sqrt(variance) * job.estimated_run_s)
+class ClusterView:
+    """Answers what rounds and provisioning ask about the cluster; changes nothing.
 
+    ``teams`` holds the teams of the settings by team index.
+    """
 
-class ClusterView:
     def __init__(
         self,
         settings: Settings,
@@ -62,165 +41,131 @@
         self._cluster_state = cluster_state
         self._fleet = fleet
         self._machine_types = machine_types
-        self._free_room = FreeRoom(cluster_state, fleet, machine_types)
+        self._free_capacity = FreeCapacity(cluster_state, fleet, machine_types)
         self.estimates = estimates
         self.teams = settings.cluster.teams
-        self._guarantees = [(t.cpus, t.gpus) for t in self.teams]
-        self._within: dict[int, list[float]] = {}  # by class: seconds to be done in
-        self._times: dict[int, list[float]] = {}  # by class: multiples of the deadline
-        for objective in settings.cluster.objectives:
-            index = cluster_state.names.job_classes.index(objective.jobclass)
-            if objective.kind == "finished" and objective.within_s > 0:
-                self._within.setdefault(index, []).append(objective.within_s)
-            elif objective.kind == "deadline":
-                self._times.setdefault(index, []).append(objective.times)
-
-    def free_capacity(self) -> FreeRoom:
+        self._guarantees = [Guarantee(team.cpus, team.gpus) for team in self.teams]
+        self._objectives = CompletionObjectives(settings.cluster.objectives, cluster_state.names)
+
+    # ---- capacity and quotas ----------------------------------------------------------------
+
+    def free_capacity(self) -> FreeCapacity:
         """What is free now, on which machines."""
-        self._free_room.refresh()
-        return self._free_room
+        self._free_capacity.refresh()
+        return self._free_capacity
 
-    def types_that_fit(self, request: PlacementRequest) -> frozenset[int]:
+    def usable_cores(self) -> float:
+        """Cores that can be kept at work by all jobs together; infinite if none are known."""
+        return self.free_capacity().cores() * USABLE_CORE_SHARE or math.inf
+
+    def fitting_machine_types(self, request: PlacementRequest) -> frozenset[int]:
         """Machine types of which one, when empty, holds a task of the request."""
         return frozenset(
             index
             for index, machine_type in self._machine_types().items()
-            if request.cores <= machine_type.cores + EPS
-            and request.accelerators <= machine_type.accelerators + EPS
-            and request.ram_gb <= machine_type.ram_gb + EPS
+            if request.fits_into(machine_type.cores, machine_type.accelerators, machine_type.ram_gb)
         )
 
-    def team_usage(self) -> list[tuple[float, float]]:
-        """What each team's tasks use or may be using, wherever they are."""
-        taken = (
+    def team_usage(self) -> list[TeamUsage]:
+        """What each team's tasks use or may be using on any machine, by team index."""
+        usages = (
             self._cluster_state.usage.team(team)
             for team in range(len(self._cluster_state.names.teams))
         )
-        return [(team.cores, team.accelerators) for team in taken]
+        return [TeamUsage(usage.cores, usage.accelerators) for usage in usages]
 
     def load_summary(self) -> str:
         """What the machines are doing, on one line for the log."""
-        machine_types = self._machine_types()
-        up = booting = retiring = 0.0
-        for machine in self._fleet.machines.values():
-            machine_type = machine_types.get(machine.machine_type)
-            cores = machine_type.cores if machine_type else 0.0
-            if machine.accepts_work:
-                up += cores
-                retiring += cores if machine.cordoned else 0.0
-            elif machine.health is Health.BOOTING:
-                booting += cores
-        running = starting = 0.0
-        for there in self._cluster_state.attempts_by_machine.values():
-            for attempt in there.values():
-                if attempt.running_at and not attempt.has_exited:
-                    running += attempt.job.cores
-                elif not attempt.has_exited:
-                    starting += attempt.job.cores
-        waiting = sum(
-            job.pending_count * job.cores for job in self._cluster_state.open_jobs.values()
-        )
-        return (
-            f"cores up {up:.0f} (retiring {retiring:.0f}), booting {booting:.0f}; running"
-            f" {running:.0f}, starting {starting:.0f}, waiting {waiting:.0f}"
-        )
+        return str(summarize_load(self._cluster_state, self._fleet, self._machine_types()))
 
-    def goals(self, job: Job) -> tuple[float, ...]:
-        """When its class's objectives want the job to be done, the soonest first."""
-        if job.deadline_s is not None:
-            within = [job.deadline_s * times for times in self._times.get(job.job_class, [1.0])]
-        else:
-            within = self._within.get(job.job_class, [])
-        return tuple(job.accepted_at + seconds for seconds in sorted(within))
+    # ---- jobs ---------------------------------------------------------------------------------
 
-    def has_goals(self, job: Job) -> bool:
-        return job.deadline_s is not None or job.job_class in self._within
+    def has_objectives(self, job: Job) -> bool:
+        """Whether the job has a deadline or its class an objective for completion."""
+        return self._objectives.has_any(job)
 
-    def wave_count(self, job: Job, tasks: int) -> int:
+    def wave_count(self, job: Job, task_count: int) -> int:
+        """How many times the job's team has to use its whole limit for so many tasks."""
         team = self.teams[job.team]
-        most = float(job.task_count)
+        max_parallel = float(job.task_count)
         if job.cores > 0:
-            most = min(most, team.most_cores // job.cores)
+            max_parallel = min(max_parallel, team.most_cores // job.cores)
         if job.accelerators > 0:
-            most = min(most, team.most_accelerators // job.accelerators)
-        return math.ceil(tasks / max(1.0, most))
+            max_parallel = min(max_parallel, team.most_accelerators // job.accelerators)
+        return math.ceil(task_count / max(1.0, max_parallel))
 
     def critical_path_s(self, job: Job) -> float:
-        """How long the job still takes at best, with its team's limit for itself."""
+        """How long the job still takes at best, with its team's whole limit for itself."""
         run_s = self.estimates.run_s(job)
         team = self.teams[job.team]
-        left = job.task_count - job.done_count - len(self._fleet.finished_tasks.get(job.index, ()))
-        share = 0.0
+        finished = len(self._fleet.finished_tasks.get(job.index, ()))
+        unfinished = job.task_count - job.done_count - finished
+        limit_share = 0.0
         if job.cores > 0:
-            share = max(share, left * job.cores / team.most_cores)
+            limit_share = max(limit_share, unfinished * job.cores / team.most_cores)
         if job.accelerators > 0:
-            share = max(share, left * job.accelerators / team.most_accelerators)
-        return run_s * share
-
-    def usable_cores(self) -> float:
-        """That all jobs share, as far as they can be kept at work; infinite if none are known."""
-        return self.free_capacity().cores() * USABLE_CORE_SHARE or math.inf
+            share = unfinished * job.accelerators / team.most_accelerators
+            limit_share = max(limit_share, share)
+        return run_s * limit_share
 
     def job_order(self) -> list[QueuedJob]:
-        standings = []
-        # What fails everywhere is tried one task at a time: that one first, so that a job that was
-        # only unlucky goes on soon. Nothing else is done for it and nothing else waits for it.
-        turns = []
+        """Open jobs in the order in which they are served."""
+        entries = []
+        # A suspect job is tried one task at a time. This task comes before all else, so that a job
+        # that was only unlucky soon continues; the job itself is neither ordered nor waited for.
+        suspects = []
         for job in self._cluster_state.open_jobs.values():
             if self._fleet.job_failures.is_suspect(job):
-                turns.append(QueuedJob(job.index, False, time.time() + UNREACHABLE_GOAL_S))
-                continue
-            if job.is_service:
-                cores, accelerators = job.task_count * job.cores, job.task_count * job.accelerators
-                standings.append(
-                    QueueEntry(
-                        job.index,
-                        job.team,
-                        job.priority,
-                        job.accepted_at,
-                        (),
-                        0.0,
-                        cores,
-                        accelerators,
-                        width=cores,
-                        service=True,
-                    )
-                )
-                continue
-            left = job.task_count - job.done_count
-            run_s = self.estimates.run_s(job)
-            live = len(job.live_attempts)
-            standings.append(
-                QueueEntry(
-                    job.index,
-                    job.team,
-                    job.priority,
-                    job.accepted_at,
-                    self.goals(job),
-                    self.critical_path_s(job),
-                    job.task_count * job.cores,
-                    job.task_count * job.accelerators,
-                    run_s,
-                    self.estimates.tail_s(job),
-                    min(left * job.cores, self.teams[job.team].most_cores),
-                    ((left - live / 2) * run_s - sum(job.checkpointed_s.values())) * job.cores,
-                    live > 0 or job.done_count > 0,
-                )
-            )
-        return turns + order_jobs(standings, self._guarantees, time.time(), self.usable_cores())
-
-    def _avoid(self, job: Job) -> frozenset[int]:
-        """Machines on which it failed, as long as there are as many others."""
-        failed_on = self._fleet.job_failures.failed_on(job)
-        if not failed_on:
-            return frozenset()
-        usable = sum(machine.accepts_work for machine in self._fleet.machines.values())
-        return frozenset(failed_on) if 2 * len(failed_on) <= usable else frozenset()
+                due_at = time.time() + UNREACHABLE_OBJECTIVE_S
+                suspects.append(QueuedJob(job.index, guaranteed=False, due_at=due_at))
+            elif job.is_service:
+                entries.append(self._service_entry(job))
+            else:
+                entries.append(self._batch_entry(job))
+        return suspects + order_jobs(entries, self._guarantees, time.time(), self.usable_cores())
+
+    def _service_entry(self, job: Job) -> QueueEntry:
+        cores = job.task_count * job.cores
+        return QueueEntry(
+            job_index=job.index,
+            team=job.team,
+            priority=job.priority,
+            accepted_at=job.accepted_at,
+            objective_times=(),
+            critical_path_s=0.0,
+            requested_cores=cores,
+            requested_accelerators=job.task_count * job.accelerators,
+            parallel_cores=cores,
+            is_service=True,
+        )
+
+    def _batch_entry(self, job: Job) -> QueueEntry:
+        unfinished = job.task_count - job.done_count
+        run_s = self.estimates.run_s(job)
+        live = len(job.live_attempts)
+        # A live task counts as half done.
+        remaining_s = (unfinished - live / 2) * run_s - sum(job.checkpointed_s.values())
+        return QueueEntry(
+            job.index,
+            job.team,
+            job.priority,
+            job.accepted_at,
+            self._objectives.times(job),
+            self.critical_path_s(job),
+            job.task_count * job.cores,
+            job.task_count * job.accelerators,
+            run_s,
+            self.estimates.tail_s(job),
+            min(unfinished * job.cores, self.teams[job.team].most_cores),
+            remaining_s * job.cores,
+            live > 0 or job.done_count > 0,
+        )
 
-    def request(self, job: Job) -> PlacementRequest:
-        counted = job.single_zone or job.spread_zones or job.is_service
+    def placement_request(self, job: Job) -> PlacementRequest:
+        """What the job requests of a round: all tasks that may start now."""
+        needs_occupancy = job.single_zone or job.spread_zones or job.is_service
         machines = self._fleet.machines
-        occupancy = JobOccupancy.of(job, machines) if counted else JobOccupancy()
+        occupancy = JobOccupancy.of(job, machines) if needs_occupancy else JobOccupancy()
         return PlacementRequest(
             job.index,
             job.team,
@@ -236,7 +181,15 @@
             job.single_zone,
             job.spread_zones,
             occupancy,
-            self._avoid(job),
+            self._excluded_machines(job),
             job.is_gang,
             job.is_service,
         )
+
+    def _excluded_machines(self, job: Job) -> frozenset[int]:
+        """Machines on which the job failed, as long as there are as many others."""
+        failed_on = self._fleet.job_failures.failed_on(job)
+        if not failed_on:
+            return frozenset()
+        usable = sum(machine.accepts_work for machine in self._fleet.machines.values())
+        return frozenset(failed_on) if 2 * len(failed_on) <= usable else frozenset()
--- a/petrelthread/scheduling/free_capacity.py
+++ b/petrelthread/scheduling/free_capacity.py
@@ -1,4 +1,4 @@
-"""What is free on which machine, kept up to date from what changed."""
+"""Free capacity of all machines, kept up to date from what changed."""
 
 from __future__ import annotations
 
@@ -7,19 +7,22 @@
 
 from petrelthread import protocol
 from petrelthread.fleet import Fleet, Health, Machine
-from petrelthread.scheduling.capacity_index import RoomIndex
-from petrelthread.scheduling.slot import Slot
+from petrelthread.scheduling.capacity_index import CapacityIndex
+from petrelthread.scheduling.machine_capacity import MachineCapacity
 from petrelthread.state import ClusterState
 
 MachineTypes = dict[int, protocol.MachineType]
 
 
-class FreeRoom:
-    """Two indexes of the machines that may be given work: ``usable``, and ``surplus`` for spot
-    machines that are being retired and take only what fits nowhere else.
+class FreeCapacity:
+    """Two indexes of the machines that may be given work.
 
-    Whatever decides where a machine stands marks it in ``Use.changed_machines``: an attempt that
-    begins or ends there, and each change of a deciding field of ``Machine``.
+    ``usable`` holds the machines in regular use, ``surplus`` the spot machines that are being
+    returned and take only what fits nowhere else.
+
+    Whatever decides whether a machine is schedulable, and how much of it is free, marks the machine
+    in ``UsageTracker.changed_machines``: an attempt that starts or ends there, and each change of a
+    ``Machine`` field on which scheduling depends.
     """
 
     def __init__(
@@ -32,81 +35,92 @@
         self._fleet = fleet
         self._machine_types = machine_types
         self._epoch = -1
-        self._types: MachineTypes = {}
-        self.usable = RoomIndex()
-        self.surplus = RoomIndex()
-        # Machines that work or will soon, whether or not they have been heard in this epoch.
-        self._counted: dict[int, int] = {}  # their types
-        self._count: Counter[int] = Counter()  # how many there are of each type
+        self._known_types: MachineTypes = {}
+        self.usable = CapacityIndex()
+        self.surplus = CapacityIndex()
+        # Machines that accept work or are booting, whether or not they have acknowledged this
+        # epoch: the type of each, and the number of machines of each type.
+        self._type_by_machine: dict[int, int] = {}
+        self._count_by_type: Counter[int] = Counter()
 
     def cores(self) -> float:
-        """Cores of all machines that may be given work or are booting."""
-        return sum(self._types[kind].cores * count for kind, count in self._count.items())
+        """Cores of all machines that accept work or are booting."""
+        return sum(
+            self._known_types[machine_type].cores * count
+            for machine_type, count in self._count_by_type.items()
+        )
+
+    def machines(self) -> dict[int, MachineCapacity]:
+        """Machines of both indexes, by machine index."""
+        return self.surplus.machines | self.usable.machines
 
     def refresh(self) -> None:
-        """Bring both indexes up to date. Costs what changed since the last time, and all machines
-        when the epoch or the catalogue is another one."""
+        """Bring both indexes up to date.
+
+        The cost is that of the machines that changed since the last call, and of all machines after
+        a change of the epoch or of the machine types.
+        """
         changed = self._cluster_state.usage.changed_machines
         machine_types = self._machine_types()
-        if self._epoch != self._fleet.epoch or self._types != machine_types:
-            self._epoch, self._types = self._fleet.epoch, dict(machine_types)
-            changed |= self.usable.slots.keys() | self.surplus.slots.keys()
-            changed |= self._counted.keys()
-            self._counted.clear()
-            self._count.clear()
+        if self._epoch != self._fleet.epoch or self._known_types != machine_types:
+            self._epoch, self._known_types = self._fleet.epoch, dict(machine_types)
+            changed |= self.usable.machines.keys() | self.surplus.machines.keys()
+            changed |= self._type_by_machine.keys()
+            self._type_by_machine.clear()
+            self._count_by_type.clear()
             changed |= self._fleet.machines.keys()
-        for index in changed:
-            self._update(index)
+        for machine_index in changed:
+            self._update(machine_index)
         changed.clear()
 
-    def drop_decisions(self) -> None:
-        """Forget what the decisions of a round took: only what a won claim makes is real."""
+    def discard_decisions(self) -> None:
+        """Forget the capacity that a round's decisions took: only a committed claim takes it."""
         for index in (self.usable, self.surplus):
-            self._cluster_state.usage.changed_machines |= index.touched
-            index.touched.clear()
-
-    def _update(self, index: int) -> None:
-        self.usable.discard(index)
-        self.surplus.discard(index)
-        machine = self._fleet.machines.get(index)
-        self._recount(index, machine)
+            self._cluster_state.usage.changed_machines |= index.modified_machines
+            index.modified_machines.clear()
+
+    def _update(self, machine_index: int) -> None:
+        self.usable.discard(machine_index)
+        self.surplus.discard(machine_index)
+        machine = self._fleet.machines.get(machine_index)
+        self._recount(machine_index, machine)
         if machine is None or not self._fleet.is_schedulable(machine):
             return
-        slot = self.slot_of(machine)
-        if slot is None:
+        capacity = self.capacity_of(machine)
+        if capacity is None:
             return
         if not machine.cordoned:
-            self.usable.put(slot)
+            self.usable.put(capacity)
         elif machine.spot:
-            self.surplus.put(slot)
+            self.surplus.put(capacity)
 
-    def _recount(self, index: int, machine: Machine | None) -> None:
-        before = self._counted.pop(index, None)
-        if before is not None:
-            self._count[before] -= 1
-        if machine is None or machine.machine_type not in self._types:
+    def _recount(self, machine_index: int, machine: Machine | None) -> None:
+        counted_type = self._type_by_machine.pop(machine_index, None)
+        if counted_type is not None:
+            self._count_by_type[counted_type] -= 1
+        if machine is None or machine.machine_type not in self._known_types:
             return
         if machine.accepts_work or machine.health is Health.BOOTING:
-            self._counted[index] = machine.machine_type
-            self._count[machine.machine_type] += 1
+            self._type_by_machine[machine_index] = machine.machine_type
+            self._count_by_type[machine.machine_type] += 1
 
-    def slot_of(self, machine: Machine) -> Slot | None:
-        """What is free there; None if its type is not known."""
-        machine_type = self._types.get(machine.machine_type)
+    def capacity_of(self, machine: Machine) -> MachineCapacity | None:
+        """What is free on the machine; None if its type is not known."""
+        machine_type = self._known_types.get(machine.machine_type)
         if machine_type is None:
             return None
-        taken = self._cluster_state.usage.machine(machine.index)
+        usage = self._cluster_state.usage.machine(machine.index)
         images = set(machine.images)
         for attempt in self._fleet.attempts_on(machine).values():
             if not attempt.has_exited:
                 images.add(attempt.job.image)
-        return Slot(
+        return MachineCapacity(
             machine.index,
             machine.machine_type,
             machine.zone,
             machine.spot,
-            machine_type.cores - taken.cores,
-            machine_type.accelerators - taken.accelerators,
-            machine_type.ram_gb - taken.ram_gb,
+            machine_type.cores - usage.cores,
+            machine_type.accelerators - usage.accelerators,
+            machine_type.ram_gb - usage.ram_gb,
             images,
         )
--- a/petrelthread/scheduling/job_order.py
+++ b/petrelthread/scheduling/job_order.py
@@ -1,213 +1,111 @@
-"""Who comes first: guarantees, then rank, then deadline.
+"""The order in which jobs are served: guarantees, then priority, then the start that is due first.
 
-Among jobs of one rank, two things make them take turns: the limit of their team and, when more is
-asked than there are machines, the cores of all. Most of them are in time if the longest gives way
-whenever a goal cannot be kept (Moore's rule); what gives way is tried for its next goal.
+Among jobs of one priority, two things make them wait for each other: the limit of their team and,
+when more is requested than there are machines, the cores of all. ``on_time_selection`` decides
+which of them are meant to be complete on time.
 """
 
 from __future__ import annotations
 
-import heapq
 import math
 from typing import NamedTuple
 
-UNREACHABLE_GOAL_S = 1e6  # what is late anyway comes after all that is not
-LATE_JOB_SLACK_S = (
-    70.0  # jobs that have to begin within this come before late ones that outlast the backlog
-)
-MAX_START_DELAY_S = (
-    150.0  # a job has begun by then, however late: users expect it within four minutes
-)
+from petrelthread.scheduling.guarantees import Guarantee, within_guarantee
+from petrelthread.scheduling.on_time_selection import CapacityTimeline, reachable_objectives
+from petrelthread.scheduling.queue_entry import QueuedJob, QueueEntry
 
+UNREACHABLE_OBJECTIVE_S = 1e6  # from now: the due time of a job that reaches no objective
+LATE_JOB_SLACK_S = 70.0  # in which a late job that outlasts the backlog has to start
+MAX_START_DELAY_S = 150.0  # after its acceptance a job is overdue if it has not started
 
-class QueueEntry(NamedTuple):
-    """What the order looks at in an unfinished job."""
+MIN_SHARED_CORES = 1.0  # left for other jobs when services use all that there is
 
-    job: int
-    team: int
-    priority: int
-    accepted_at: float
-    goals: tuple[float, ...]  # when it should be done: the sooner, then what still counts after it
-    path_s: float  # how long it would still take if its team's limit alone held it back
-    cores_asked: float  # by the whole job, finished tasks included
-    accelerators_asked: float
-    run_s: float = 0.0  # of one task
-    tail_s: float = 0.0  # how much longer the longest of many tasks may take
-    width: float = 0.0  # cores that it can use at once
-    work_s: float = 0.0  # core seconds left in all its tasks
-    begun: bool = False
-    service: bool = False  # runs until it is cancelled: it has no end to be ordered by
 
-    @property
-    def least_s(self) -> float:
-        """It cannot be done sooner."""
-        return max(self.path_s, self.run_s) + self.tail_s
+class _GroupKey(NamedTuple):
+    """Jobs of one group are ordered among themselves; the smallest key is served first."""
 
-
-class QueuedJob(NamedTuple):
-    job: int
-    guaranteed: bool
-    due_at: float  # the goal it is meant to reach
-    overdue: bool = False  # should have begun: one task of it goes before all else
-
-
-Kept = list[tuple[float, QueueEntry]]  # by goal
-
-
-def within_guarantee(
-    jobs: list[QueueEntry], guarantees: list[tuple[float, float]]
-) -> dict[int, bool]:
-    """A job lies within its team's guarantee if it fits along with the team's earlier jobs.
-
-    The whole job counts, as PROTOCOL has it: one that shrank into the guarantee as its tasks
-    finished would stop others' work for its last few.
-    """
-    used = [(0.0, 0.0)] * len(guarantees)
-    inside: dict[int, bool] = {}
-    for standing in sorted(jobs, key=lambda s: (s.accepted_at, s.job)):
-        cores, accelerators = used[standing.team]
-        cores += standing.cores_asked
-        accelerators += standing.accelerators_asked
-        most_cores, most_accelerators = guarantees[standing.team]
-        fits = cores <= most_cores + 1e-9 and accelerators <= most_accelerators + 1e-9
-        inside[standing.job] = fits
-        if fits:
-            used[standing.team] = (cores, accelerators)
-    return inside
-
-
-class CapacityTimeline:
-    """When the cores that all jobs share, and those of each team's limit, fall free."""
-
-    def __init__(self, cores: float, now: float) -> None:
-        self.now = now
-        self.free: list[tuple[float, float]] = [(now, cores)]  # a heap: from when, how many cores
-        self.ends: dict[int, float] = {}
-
-    def copy(self) -> CapacityTimeline:
-        other = CapacityTimeline(0.0, self.now)
-        other.free, other.ends = list(self.free), dict(self.ends)
-        return other
-
-    def add(self, standing: QueueEntry) -> float:
-        """Serve the job next, on cores as they fall free; when it is done for all that."""
-        end = self.now
-        lacking = standing.width
-        last_s = max(standing.run_s, standing.work_s / lacking) if lacking > 0 else 0.0
-        while lacking > 1e-9:
-            at, cores = heapq.heappop(self.free)
-            taken = min(cores, lacking)
-            if cores > taken:
-                heapq.heappush(self.free, (at, cores - taken))
-            heapq.heappush(self.free, (at + last_s, taken))
-            lacking -= taken
-            end = at + last_s
-        mates = self.ends[standing.team] = self.ends.get(standing.team, self.now) + standing.path_s
-        return max(end, mates) + standing.tail_s
-
-
-def first_late(kept: Kept, queue: CapacityTimeline, due: float = -math.inf) -> QueueEntry | None:
-    """The first that is late if all of them are served in this order, of those due later."""
-    queue = queue.copy()
-    for goal, standing in kept:
-        if queue.add(standing) > goal >= due:
-            return standing
-    return None
-
-
-def most_in_time(candidates: Kept, queue: CapacityTimeline) -> Kept:
-    """Moore's rule: in order of goals, the largest gives way whenever one would be late."""
-    kept: Kept = []
-    ahead = queue.copy()  # with all that is kept
-    for due, standing in candidates:
-        kept.append((due, standing))
-        if ahead.add(standing) <= due:
-            continue
-        mates = [entry for entry in kept if entry[1].team == standing.team]
-        mates_end = queue.now + sum(mate.path_s for _, mate in mates) + standing.tail_s
-        if mates_end > due:
-            worst = max(mates, key=lambda entry: (entry[1].path_s, entry[1].job))
-        else:
-            worst = max(kept, key=lambda entry: (entry[1].work_s, entry[1].job))
-        without = [entry for entry in kept if entry is not worst]
-        if worst[1] is not standing and first_late(without, queue, due) is not None:
-            # Without the other it is late all the same: then it gives way itself.
-            without = kept[:-1]
-        kept = without
-        ahead = queue.copy()
-        for _, other in kept:
-            ahead.add(other)
-    return kept
-
-
-def reachable(jobs: list[QueueEntry], queue: CapacityTimeline) -> dict[int, float]:
-    """Which of its goals each job of one group is meant to reach. The queue goes on behind them."""
-    kept: Kept = []
-    left = jobs
-    for level in range(max((len(s.goals) for s in jobs), default=0)):
-        candidates = [
-            (s.goals[level], s)
-            for s in left
-            if len(s.goals) > level and queue.now + s.least_s <= s.goals[level]
-        ]
-        if level == 0:
-            candidates.sort(key=lambda entry: (entry[0], entry[1].job))
-            kept = most_in_time(candidates, queue)
-        else:
-            # As many as fit in between without making one late that is kept, the smallest first.
-            candidates.sort(key=lambda entry: (entry[1].work_s, entry[1].job))
-            for due, standing in candidates:
-                both = sorted([*kept, (due, standing)], key=lambda e: (e[0], e[1].job))
-                if first_late(both, queue, due) is None:
-                    kept = both
-        reached = {standing.job for _, standing in kept}
-        left = [s for s in jobs if s.job not in reached]
-    for _, standing in kept:
-        queue.add(standing)
-    for standing in left:
-        queue.add(standing)
-    return {standing.job: due for due, standing in kept}
+    not_guaranteed: bool
+    negative_priority: int
 
 
 def order_jobs(
-    jobs: list[QueueEntry],
-    guarantees: list[tuple[float, float]],
+    entries: list[QueueEntry],
+    guarantees: list[Guarantee],
     now: float,
     cores: float = math.inf,
 ) -> list[QueuedJob]:
-    """Jobs in the order in which they are served; ``cores``: of all machines together.
-
-    Within a rank, by when a job has to begin to reach the goal that it can reach. Jobs that are
-    late anyway come last, the longest first: it ends last. But none waits past BEGIN_S to begin.
+    """The jobs in the order in which they are served.
+
+    Services come first, whatever their team's share, because every second without a replica is
+    lost. The others go by guarantee and priority, then by when they have to start to reach the
+    objective that they can reach. Jobs that reach none come last, the longest first. But none waits
+    longer than ``MAX_START_DELAY_S`` to start.
+
+    Args:
+        entries: all unfinished jobs.
+        guarantees: cores and accelerators, by team index.
+        now: wall clock time in seconds.
+        cores: of all machines together.
     """
-    inside = within_guarantee(jobs, guarantees)
-    # What users lean on every minute comes before what ends by itself, whatever its team's share.
+    guaranteed = within_guarantee(entries, guarantees)
     services = sorted(
-        (s for s in jobs if s.service), key=lambda s: (-s.priority, s.accepted_at, s.job)
+        (entry for entry in entries if entry.is_service),
+        key=lambda entry: (-entry.priority, entry.accepted_at, entry.job_index),
     )
-    first = [QueuedJob(s.job, inside[s.job], now) for s in services]
-    jobs = [s for s in jobs if not s.service]
-    cores = max(cores - sum(s.width for s in services), 1.0)
-    groups: dict[tuple[bool, int], list[QueueEntry]] = {}
-    for standing in jobs:
-        groups.setdefault((not inside[standing.job], -standing.priority), []).append(standing)
-    queue = CapacityTimeline(cores, now)
-    # What is late anyway comes last, unless it alone would go on when all else is done: held back
-    # by its team's limit, it has to go on meanwhile, behind what has little time left to begin.
-    drained_at = now + sum(s.work_s for s in jobs) / cores
-    turns = first
-    for _, members in sorted(groups.items()):
-        goals = reachable(members, queue)
-        begins: list[tuple[float, float, int, QueueEntry]] = []
-        for s in members:
-            begin = goals.get(s.job, now + UNREACHABLE_GOAL_S) - s.least_s
-            if s.job not in goals and now + s.least_s > drained_at:
-                begin = now + LATE_JOB_SLACK_S
-            if not s.begun:
-                begin = min(begin, s.accepted_at + MAX_START_DELAY_S)
-            begins.append((begin, s.accepted_at, s.job, s))
-        for *_, s in sorted(begins):
-            overdue = not s.begun and now > s.accepted_at + MAX_START_DELAY_S
-            due = goals.get(s.job, now + UNREACHABLE_GOAL_S)
-            turns.append(QueuedJob(s.job, inside[s.job], due, overdue))
-    return turns
+    others = [entry for entry in entries if not entry.is_service]
+    order = [QueuedJob(entry.job_index, guaranteed[entry.job_index], now) for entry in services]
+    service_cores = sum(entry.parallel_cores for entry in services)
+    shared_cores = max(cores - service_cores, MIN_SHARED_CORES)
+    timeline = CapacityTimeline(shared_cores, now)
+    backlog_end = now + sum(entry.remaining_core_s for entry in others) / shared_cores
+    for group in _groups(others, guaranteed):
+        order += _order_group(group, guaranteed, timeline, backlog_end)
+    return order
+
+
+def _groups(entries: list[QueueEntry], guaranteed: dict[int, bool]) -> list[list[QueueEntry]]:
+    """The jobs by guarantee and priority, those that are served first at the front."""
+    groups: dict[_GroupKey, list[QueueEntry]] = {}
+    for entry in entries:
+        key = _GroupKey(not guaranteed[entry.job_index], -entry.priority)
+        groups.setdefault(key, []).append(entry)
+    return [members for _, members in sorted(groups.items())]
+
+
+def _order_group(
+    group: list[QueueEntry],
+    guaranteed: dict[int, bool],
+    timeline: CapacityTimeline,
+    backlog_end: float,
+) -> list[QueuedJob]:
+    """The jobs of one group by when they have to start."""
+    now = timeline.now
+    due_times = reachable_objectives(group, timeline)
+    by_start: list[tuple[float, float, int, QueueEntry]] = []
+    for entry in group:
+        start_by = _latest_start(entry, due_times.get(entry.job_index), now, backlog_end)
+        by_start.append((start_by, entry.accepted_at, entry.job_index, entry))
+    return [
+        QueuedJob(
+            entry.job_index,
+            guaranteed[entry.job_index],
+            due_times.get(entry.job_index, now + UNREACHABLE_OBJECTIVE_S),
+            not entry.started and now > entry.accepted_at + MAX_START_DELAY_S,
+        )
+        for *_, entry in sorted(by_start)
+    ]
+
+
+def _latest_start(entry: QueueEntry, due_at: float | None, now: float, backlog_end: float) -> float:
+    """When the job has to start; ``due_at`` is None if it reaches no objective."""
+    if due_at is not None:
+        start_by = due_at - entry.min_remaining_s
+    elif now + entry.min_remaining_s > backlog_end:
+        # Served last, a job that its team's limit holds back would run on alone after the backlog.
+        # It goes on meanwhile, behind jobs that have to start sooner.
+        start_by = now + LATE_JOB_SLACK_S
+    else:
+        start_by = now + UNREACHABLE_OBJECTIVE_S - entry.min_remaining_s
+    if not entry.started:
+        start_by = min(start_by, entry.accepted_at + MAX_START_DELAY_S)
+    return start_by
--- /dev/null
+++ b/petrelthread/scheduling/machine_capacity.py
@@ -0,0 +1,104 @@
+"""Free capacity of one machine."""
+
+from __future__ import annotations
+
+from petrelthread.scheduling.placement_request import PlacementRequest
+from petrelthread.scheduling.tolerance import CAPACITY_TOLERANCE
+
+PlacementKey = tuple[bool, float, float, int]
+
+
+class MachineCapacity:
+    """What is free on one machine, and what decides which requests may use it.
+
+    ``images`` holds the indexes of the images that the machine caches or will have fetched.
+    """
+
+    __slots__ = (
+        "accelerators",
+        "cores",
+        "images",
+        "machine_index",
+        "machine_type",
+        "ram_gb",
+        "spot",
+        "zone",
+    )
+
+    def __init__(
+        self,
+        machine_index: int,
+        machine_type: int,
+        zone: int,
+        spot: bool,
+        cores: float,
+        accelerators: float,
+        ram_gb: float,
+        images: set[int],
+    ) -> None:
+        self.machine_index = machine_index
+        self.machine_type = machine_type
+        self.zone = zone
+        self.spot = spot
+        self.cores = cores
+        self.accelerators = accelerators
+        self.ram_gb = ram_gb
+        self.images = images
+
+    def fits(self, request: PlacementRequest) -> bool:
+        """Whether one task of the request fits into the free capacity.
+
+        The comparison of ``PlacementRequest.fits_into`` is repeated here because placement makes it
+        for each machine that it examines.
+        """
+        return (
+            self.cores + CAPACITY_TOLERANCE >= request.cores
+            and self.accelerators + CAPACITY_TOLERANCE >= request.accelerators
+            and self.ram_gb + CAPACITY_TOLERANCE >= request.ram_gb
+        )
+
+    def allows(self, request: PlacementRequest) -> bool:
+        """Whether the job may use this machine at all, however much of it is free."""
+        return (
+            (request.spot_allowed or not self.spot)
+            and (request.machine_types is None or self.machine_type in request.machine_types)
+            and (request.zone is None or self.zone == request.zone)
+            and self.machine_index not in request.excluded_machines
+        )
+
+    def take(self, request: PlacementRequest) -> None:
+        """Count one task of the request as placed here."""
+        self.cores -= request.cores
+        self.accelerators -= request.accelerators
+        self.ram_gb -= request.ram_gb
+        self.images.add(request.image)
+
+    def release(self, cores: float, accelerators: float, ram_gb: float) -> None:
+        """Count what a task held as free."""
+        self.cores += cores
+        self.accelerators += accelerators
+        self.ram_gb += ram_gb
+
+    def copy(self) -> MachineCapacity:
+        """An independent copy, for a decision that may be discarded."""
+        return MachineCapacity(
+            self.machine_index,
+            self.machine_type,
+            self.zone,
+            self.spot,
+            self.cores,
+            self.accelerators,
+            self.ram_gb,
+            set(self.images),
+        )
+
+    def restore(self, before: MachineCapacity) -> None:
+        """Go back to what ``before``, a copy of this object, held."""
+        self.cores = before.cores
+        self.accelerators = before.accelerators
+        self.ram_gb = before.ram_gb
+        self.images = before.images
+
+    def placement_key(self, request: PlacementRequest) -> PlacementKey:
+        """Sort key of the machine rule: a cached image first, then most free; smallest wins."""
+        return (request.image not in self.images, -self.cores, -self.ram_gb, self.machine_index)
--- a/petrelthread/scheduling/occupancy.py
+++ b/petrelthread/scheduling/occupancy.py
@@ -1,8 +1,8 @@
 """Where the tasks of one job are, or may be.
 
 One object stands for one job in one round: all requests of the job share it, and each start that
-the round decides is added at once. Requests with a picture of their own chose different zones for
-one single-zone job (incident wk-840897).
+the round decides is added at once, so that two requests cannot choose different zones for one
+single-zone job.
 """
 
 from __future__ import annotations
@@ -28,8 +28,11 @@
 
     @classmethod
     def of(cls, job: Job, machines: dict[int, Machine]) -> JobOccupancy:
-        """What the job's live attempts occupy. A machine that is not known counts as one in an
-        unknown zone: its tasks may be in any."""
+        """What the job's live attempts occupy.
+
+        A machine that is not in ``machines`` counts as one in an unknown zone: its tasks may be in
+        any zone.
+        """
         occupancy = cls()
         for attempt in job.live_attempts.values():
             if attempt.has_exited:
@@ -39,28 +42,28 @@
             occupancy.add(zone, attempt.machine)
         return occupancy
 
-    def add(self, zone: int, machine: int) -> None:
+    def add(self, zone: int, machine_index: int) -> None:
         """Count one more task."""
         self.zones[zone] = self.zones.get(zone, 0) + 1
-        self.machines[machine] = self.machines.get(machine, 0) + 1
+        self.machines[machine_index] = self.machines.get(machine_index, 0) + 1
 
     def copy(self) -> JobOccupancy:
-        """An independent copy, for a decision that may be dropped."""
+        """An independent copy, for a decision that may be discarded."""
         return JobOccupancy(dict(self.zones), dict(self.machines))
 
     def restore(self, before: JobOccupancy) -> None:
         """Forget what was added since ``before`` was copied."""
         self.zones, self.machines = before.zones, before.machines
 
-    def only_in(self, zones: Iterable[int]) -> bool:
-        """Whether all tasks are surely in the given zones."""
+    def is_confined_to(self, zones: Iterable[int]) -> bool:
+        """Whether all tasks are known to be in the given zones."""
         return self.zones.keys() <= set(zones)
 
-    def most_in(self, zone: int) -> int:
-        """How many tasks may be in the zone at most: those in an unknown zone may be, too."""
+    def max_tasks_in(self, zone: int) -> int:
+        """How many tasks may be in the zone at most, those in an unknown zone included."""
         return self.zones.get(zone, 0) + self.zones.get(UNKNOWN_ZONE, 0)
 
 
-def spread_limit(tasks: int) -> int:
-    """How many tasks of a spread job of ``tasks`` may be in one zone (PROTOCOL: ``scatter``)."""
-    return (tasks + 1) // 2
+def spread_limit(task_count: int) -> int:
+    """How many tasks of a job that spreads over zones may be in one zone: half, rounded up."""
+    return (task_count + 1) // 2
--- a/petrelthread/scheduling/reservations.py
+++ b/petrelthread/scheduling/reservations.py
@@ -1,41 +1,63 @@
-"""Room kept free for jobs that should have begun and fit nowhere.
+"""Machines reserved for overdue jobs that fit nowhere.
 
-A task of 16 cores finds no machine with 16 free ones as long as tasks of two cores take each that
-falls free: guests' long tasks had waited 320 to 500 s. One machine for each such job gets nothing
-new until one task of it fits there.
+Without a reservation a task of 16 cores finds no machine with 16 free cores as long as small tasks
+take whatever becomes free. One machine for each such job gets no new tasks until one task of the
+job fits there.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Iterable
 
-from petrelthread.scheduling.capacity_index import RoomIndex
-from petrelthread.scheduling.slot import PlacementRequest, QuotaHeadroom
+from petrelthread.scheduling.capacity_index import CapacityIndex
+from petrelthread.scheduling.machine_capacity import MachineCapacity
+from petrelthread.scheduling.placement_request import PlacementRequest
+from petrelthread.scheduling.quota import QuotaHeadroom
 
 
 def reserve_machines(
     requests: Iterable[PlacementRequest],
-    room: RoomIndex,
-    types_that_hold: Callable[[PlacementRequest], Collection[int]],
-    teams: list[QuotaHeadroom],
-    held: dict[int, int],
+    index: CapacityIndex,
+    fitting_machine_types: Callable[[PlacementRequest], Collection[int]],
+    quotas: list[QuotaHeadroom],
+    previous: dict[int, int],
 ) -> dict[int, int]:
-    """By job, the machine to be kept for it. ``types_that_hold``: the machine types of which one,
-    when empty, holds a task. ``held``: what was kept so far; it stays as long as that can serve."""
-    out: dict[int, int] = {}
+    """Choose the machine to reserve for each job that needs one.
+
+    Args:
+        requests: of the overdue jobs, in the order in which they are served.
+        index: the machines that may be used.
+        fitting_machine_types: the machine types of which one, when empty, holds a task.
+        quotas: what each team may still use, by team index.
+        previous: reservations so far; one stays as long as it can serve.
+
+    Returns:
+        The reserved machine by job index.
+    """
+    reserved: dict[int, int] = {}
     taken: set[int] = set()
     for request in requests:
-        if teams[request.team].max_tasks(request) <= 0 or room.fits_somewhere(request):
+        if quotas[request.team].max_tasks(request) <= 0 or index.fits_somewhere(request):
             continue
-        types = types_that_hold(request)
-        kept = room.slots.get(held.get(request.job, -1))
-        if kept is not None and (
-            kept.machine in taken or kept.machine_type not in types or not kept.allowed(request)
-        ):
-            kept = None
-        # The one where least has to fall free; of equals, always the same.
-        best = kept or room.roomiest(request, types, taken)
-        if best is not None:
-            out[request.job] = best.machine
-            taken.add(best.machine)
-    return out
+        machine_types = fitting_machine_types(request)
+        machine = index.machines.get(previous.get(request.job_index, -1))
+        if machine is None or not _can_serve(machine, request, machine_types, taken):
+            machine = index.most_free(request, machine_types, taken)
+        if machine is not None:
+            reserved[request.job_index] = machine.machine_index
+            taken.add(machine.machine_index)
+    return reserved
+
+
+def _can_serve(
+    machine: MachineCapacity,
+    request: PlacementRequest,
+    machine_types: Collection[int],
+    taken: Collection[int],
+) -> bool:
+    """Whether a reservation made earlier still makes sense."""
+    return (
+        machine.machine_index not in taken
+        and machine.machine_type in machine_types
+        and machine.allows(request)
+    )
--- /dev/null
+++ b/petrelthread/scheduling/round_planner.py
@@ -0,0 +1,233 @@
+"""What one round decides: which tasks start where, and which are preempted."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections import Counter
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from petrelthread.fleet import Fleet
+from petrelthread.scheduling.bin_packing import JobPlacement, PlacementResult, place_requests
+from petrelthread.scheduling.capacity_index import CapacityIndex
+from petrelthread.scheduling.cluster_view import ClusterView
+from petrelthread.scheduling.free_capacity import FreeCapacity
+from petrelthread.scheduling.placement_request import PlacementRequest
+from petrelthread.scheduling.preemption_planner import PlacedRound, PreemptionPlanner
+from petrelthread.scheduling.quota import QuotaHeadroom, TeamUsage
+from petrelthread.scheduling.reservations import reserve_machines
+from petrelthread.scheduling.start_validator import Start
+from petrelthread.settings import Settings
+from petrelthread.state import Attempt, ClusterState, Job
+
+log = logging.getLogger(__name__)
+
+
+class RoundDecision(NamedTuple):
+    """What one round decides.
+
+    ``is_complete`` is False if the time was not enough to examine all requests.
+    """
+
+    starts: list[Start]
+    preemptions: list[Attempt]
+    is_complete: bool = True
+
+
+@dataclass
+class _RoundRequests:
+    """What one round is asked to place.
+
+    Attributes:
+        overdue: one task each of jobs that should have started; these come before all else.
+        regular: all other tasks, in the order in which jobs are served.
+        guaranteed: by job index, whether the job lies within its team's guarantee.
+    """
+
+    overdue: list[PlacementRequest] = field(default_factory=list)
+    regular: list[PlacementRequest] = field(default_factory=list)
+    guaranteed: dict[int, bool] = field(default_factory=dict)
+
+
+class RoundPlanner:
+    """Decides rounds; changes nothing of the cluster but its own reservations.
+
+    ``reserved_machines`` holds, by the index of a job that should have started, the machine that is
+    reserved for it.
+    """
+
+    def __init__(
+        self, settings: Settings, cluster_state: ClusterState, fleet: Fleet, view: ClusterView
+    ) -> None:
+        self._cluster_state = cluster_state
+        self._fleet = fleet
+        self._view = view
+        self._preemptions = PreemptionPlanner(settings, cluster_state, fleet)
+        self._next_start = 0  # position of the request with which the next round begins
+        self.reserved_machines: dict[int, int] = {}
+
+    def fail_over(self) -> None:
+        """Forget what earlier rounds left to later ones."""
+        self._next_start = 0
+        self.reserved_machines.clear()
+
+    def decide(self, now: float, budget_s: float) -> RoundDecision:
+        """What to start, and what to preempt.
+
+        Args:
+            now: time of the event loop in seconds.
+            budget_s: after this time no further request is placed in this round.
+        """
+        requests = self._requests(now)
+        if not requests.overdue and not requests.regular:
+            return RoundDecision([], [])
+        capacity = self._view.free_capacity()
+        try:
+            return self._decide(requests, capacity, now, budget_s)
+        finally:
+            capacity.discard_decisions()
+
+    def _decide(
+        self, round_requests: _RoundRequests, capacity: FreeCapacity, now: float, budget_s: float
+    ) -> RoundDecision:
+        usage = self._view.team_usage()
+        quotas = self._quota_headroom(usage)
+        self._update_reservations(round_requests.overdue, capacity.usable, quotas)
+        reserved = set(self.reserved_machines.values())
+        for machine_index in reserved:
+            capacity.usable.withhold(machine_index)
+        requests = round_requests.overdue + round_requests.regular
+        result = self._place(requests, capacity, quotas, budget_s)
+        starts = self._starts(result.placed)
+        if result.next_start:
+            return RoundDecision(starts, [], is_complete=False)
+        placed_round = PlacedRound(
+            requests=requests,
+            guaranteed=round_requests.guaranteed,
+            placed=result.task_counts(),
+            quotas=quotas,
+            usage=usage,
+            capacity=capacity,
+            reserved=reserved,
+        )
+        return RoundDecision(starts, self._preemptions.plan(placed_round, now))
+
+    # ---- requests -----------------------------------------------------------------------------
+
+    def _requests(self, now: float) -> _RoundRequests:
+        """What the open jobs want placed, in the order in which they are served."""
+        requests = _RoundRequests()
+        for queued in self._view.job_order():
+            job = self._cluster_state.jobs[queued.job_index]
+            requests.guaranteed[queued.job_index] = queued.guaranteed
+            if job.is_gang and job.live_attempts:
+                continue  # the rest of the gang ends first, then all its tasks start together
+            if now < job.retry_at:
+                continue
+            request = self._view.placement_request(job)
+            if request.pending > 0:
+                self._add_request(requests, job, request, queued.overdue)
+        return requests
+
+    def _add_request(
+        self, requests: _RoundRequests, job: Job, request: PlacementRequest, overdue: bool
+    ) -> None:
+        if job.is_gang:
+            requests.regular.append(request)
+        elif self._fleet.job_failures.is_suspect(job):
+            if not job.live_attempts:  # one task at a time shows whether the job can run at all
+                requests.regular.append(request._replace(pending=1))
+        elif overdue:
+            # One task comes before all else, the others when it is the job's turn. Both requests
+            # share the occupancy of the job.
+            pending = request.pending
+            requests.overdue.append(request._replace(pending=1, zone_tasks=pending))
+            requests.regular.append(request._replace(pending=pending - 1))
+        else:
+            requests.regular.append(request)
+
+    def _quota_headroom(self, usage: list[TeamUsage]) -> list[QuotaHeadroom]:
+        """What each team may still use, by team index."""
+        return [
+            QuotaHeadroom(team.most_cores - used.cores, team.most_accelerators - used.accelerators)
+            for team, used in zip(self._view.teams, usage, strict=False)
+        ]
+
+    def _update_reservations(
+        self,
+        overdue: list[PlacementRequest],
+        index: CapacityIndex,
+        quotas: list[QuotaHeadroom],
+    ) -> None:
+        previous = self.reserved_machines
+        self.reserved_machines = reserve_machines(
+            overdue, index, self._view.fitting_machine_types, quotas, previous
+        )
+        for job_index, machine_index in self.reserved_machines.items():
+            if previous.get(job_index) != machine_index:
+                log.info(
+                    "machine %s is reserved for %s, which is overdue and fits nowhere",
+                    self._fleet.machines[machine_index].name,
+                    self._cluster_state.jobs[job_index].id,
+                )
+
+    # ---- placement ----------------------------------------------------------------------------
+
+    def _place(
+        self,
+        requests: list[PlacementRequest],
+        capacity: FreeCapacity,
+        quotas: list[QuotaHeadroom],
+        budget_s: float,
+    ) -> PlacementResult:
+        """Place on usable machines, and then what is left on surplus machines."""
+        clock = asyncio.get_running_loop().time
+        stop_at = clock() + budget_s
+        result = place_requests(
+            requests, capacity.usable, quotas, self._next_start, lambda: clock() >= stop_at
+        )
+        self._next_start = result.next_start
+        if result.next_start or not capacity.surplus.machines:
+            return result
+        remaining = _remaining_requests(requests, result.task_counts())
+        on_surplus = place_requests(remaining, capacity.surplus, quotas)
+        return PlacementResult(result.placed + on_surplus.placed, 0)
+
+    def _starts(self, placed: list[JobPlacement]) -> list[Start]:
+        """Which task of each job goes to each of its machines."""
+        startable: dict[int, Iterator[int]] = {}
+        starts = []
+        for job_index, machines in placed:
+            job = self._cluster_state.jobs[job_index]
+            if job_index not in startable:
+                startable[job_index] = self._startable_tasks(job)
+            tasks = startable[job_index]
+            starts += [
+                Start(job, next(tasks), self._fleet.machines[machine_index])
+                for machine_index in machines
+            ]
+        return starts
+
+    def _startable_tasks(self, job: Job) -> Iterator[int]:
+        """Pending tasks, but for those whose end is reported and not on record yet."""
+        finished = self._fleet.finished_tasks.get(job.index, set())
+        return (task for task in job.pending_tasks() if task not in finished)
+
+
+def _remaining_requests(
+    requests: list[PlacementRequest], placed: Counter[int]
+) -> list[PlacementRequest]:
+    """What was not placed of jobs without rules about where their tasks are relative to others.
+
+    ``placed``: by job index, how many tasks were placed.
+    """
+    return [
+        request._replace(pending=request.pending - placed[request.job_index])
+        for request in requests
+        if request.pending > placed[request.job_index]
+        and not request.single_zone
+        and not request.spread_zones
+        and not request.all_or_nothing
+    ]
--- /dev/null
+++ b/petrelthread/scheduling/spot_reclaim.py
@@ -0,0 +1,34 @@
+"""Tasks to stop on machines that the cloud has announced to reclaim."""
+
+from __future__ import annotations
+
+from petrelthread.fleet import Fleet, Health
+from petrelthread.scheduling.preemption_candidates import ran_s
+from petrelthread.scheduling.run_time_estimates import RunTimeEstimates
+from petrelthread.state import Attempt
+
+
+def attempts_cut_short(fleet: Fleet, estimates: RunTimeEstimates, now: float) -> list[Attempt]:
+    """Attempts that cannot finish before their machine is reclaimed.
+
+    Forgets the notices of machines that are gone.
+    """
+    attempts = []
+    for machine in list(fleet.machines_with_notice.values()):
+        if machine.health is Health.TERMINATED:
+            del fleet.machines_with_notice[machine.index]
+        if machine.health is not Health.DRAINING or machine.spot_notice_s is None:
+            continue
+        left_s = machine.spot_notice_s - (now - machine.spot_notice_at)
+        for attempt in fleet.attempts_on(machine).values():
+            if attempt.has_exited or attempt.stop_requested_at:
+                continue
+            if _remaining_run_s(attempt, estimates, now) > max(left_s, 0.0):
+                attempts.append(attempt)
+    return attempts
+
+
+def _remaining_run_s(attempt: Attempt, estimates: RunTimeEstimates, now: float) -> float:
+    run_s = estimates.run_s(attempt.job)
+    run_s -= attempt.job.checkpointed_s.get(attempt.task, 0.0)
+    return run_s - ran_s(attempt, now)
--- a/petrelthread/scheduling/start_log.py
+++ b/petrelthread/scheduling/start_log.py
@@ -1,4 +1,4 @@
-"""One log line for each start, with what is needed to judge it afterwards."""
+"""Debug log of starts, with what is needed to judge each placement afterwards."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class StartLog:
-    """Names machines, zones and classes as operators know them."""
+    """Writes one line for each start, with machines, zones and classes by name."""
 
     def __init__(self, cluster_state: ClusterState, fleet: Fleet) -> None:
         self._cluster_state = cluster_state
         self._fleet = fleet
 
     def write(self, attempt: Attempt) -> None:
-        """At level debug: where it starts, after which wait, and where its job's others are."""
+        """Log the machine, the time that the job waited, and the zones of its other tasks."""
         if not log.isEnabledFor(logging.DEBUG):
             return
         machine = self._fleet.machines[attempt.machine]
         cached = attempt.job.image in machine.images
         log.debug(
             "start %s/%d (%s) on %s after %.2f s, image %s; attempt %d of epoch %d, zone %s,"
-            " its other tasks in %s",
+            " other tasks of the job in %s",
             attempt.job.id,
             attempt.task,
             self._cluster_state.names.job_classes.name(attempt.job.job_class),
             machine.name,
             time.time() - attempt.job.accepted_at,
-            "there" if cached else "to fetch",
+            "cached" if cached else "to be fetched",
             attempt.number,
             epoch_of(attempt.number),
             self._zone_name(machine),
@@ -45,7 +45,7 @@
         return self._cluster_state.names.zones.name(machine.zone)
 
     def _other_zones(self, attempt: Attempt) -> str:
-        """Where the job's other live tasks are, for the log: "zone: tasks, ..." or "none"."""
+        """Where the job's other live tasks are: "zone: tasks, ..." or "none"."""
         counts: dict[str, int] = {}
         for other in attempt.job.live_attempts.values():
             if other is not attempt and not other.has_exited:
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -1,4 +1,4 @@
-"""The index of free room against a plain recount, and how few machines a decision looks at."""
+"""The capacity index against a plain recount, and how few machines a decision examines."""
 
 from __future__ import annotations
 
@@ -9,19 +9,25 @@
 
 from petrelthread import protocol
 from petrelthread.fleet import Health
+from petrelthread.scheduling import (
+    MachineCapacity,
+    PlacementRequest,
+    QuotaHeadroom,
+)
 from petrelthread.scheduling.bin_packing import place_requests
-from petrelthread.scheduling.capacity_index import RoomIndex
-from petrelthread.scheduling.free_capacity import FreeRoom
+from petrelthread.scheduling.capacity_index import CapacityIndex
+from petrelthread.scheduling.free_capacity import FreeCapacity
 from petrelthread.scheduling.occupancy import JobOccupancy
-from petrelthread.scheduling.slot import PlacementRequest, QuotaHeadroom, Slot
-from petrelthread.scheduling.test_bin_packing import model, random_case
-from petrelthread.scheduling.test_scheduler import ZONES, Cluster, now, run
 from petrelthread.state import Attempt
+from tests.placement_model import model, random_case, task_placements
+from tests.scheduling_cluster import ZONES, Cluster, cluster_test, now
 from tests.world import job
 
 
-class SlotState(NamedTuple):
-    type: int
+class CapacitySnapshot(NamedTuple):
+    """A comparable copy of a machine's free capacity."""
+
+    machine_type: int
     zone: int
     spot: bool
     cores: float
@@ -30,28 +36,28 @@
     images: frozenset[int]
 
 
-def state_of(slot: Slot) -> SlotState:
-    return SlotState(
-        slot.machine_type,
-        slot.zone,
-        slot.spot,
-        slot.cores,
-        slot.accelerators,
-        slot.ram_gb,
-        frozenset(slot.images),
+def snapshot_of(machine: MachineCapacity) -> CapacitySnapshot:
+    return CapacitySnapshot(
+        machine.machine_type,
+        machine.zone,
+        machine.spot,
+        machine.cores,
+        machine.accelerators,
+        machine.ram_gb,
+        frozenset(machine.images),
     )
 
 
-def recounted(cluster: Cluster) -> tuple[dict[int, SlotState], dict[int, SlotState]]:
-    """The slow plain form: every machine is looked at and all that is on it added up."""
-    usable: dict[int, SlotState] = {}
-    surplus: dict[int, SlotState] = {}
+def recounted(cluster: Cluster) -> tuple[dict[int, CapacitySnapshot], dict[int, CapacitySnapshot]]:
+    """Usable and surplus capacity, added up anew from the attempts on every machine."""
+    usable: dict[int, CapacitySnapshot] = {}
+    surplus: dict[int, CapacitySnapshot] = {}
     for machine in cluster.fleet.machines.values():
         machine_type = cluster.types.get(machine.machine_type)
         if machine_type is None or not cluster.fleet.is_schedulable(machine):
             continue
         live = [a for a in cluster.fleet.attempts_on(machine).values() if not a.has_exited]
-        state = SlotState(
+        state = CapacitySnapshot(
             machine.machine_type,
             machine.zone,
             machine.spot,
@@ -68,7 +74,7 @@
 
 
 class RandomChanges:
-    """One change of the cluster after the other, of every kind that decides what is free."""
+    """Random changes of the cluster, of every kind that decides what is free."""
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster = cluster
@@ -81,11 +87,19 @@
         self.machines = 0
 
     def change(self) -> None:
-        """Make one of them."""
-        kinds = [self.rent, self.start, self.start, self.end, self.judge, self.cache, self.lose]
+        """Make one change."""
+        kinds = [
+            self.scale_out,
+            self.start,
+            self.start,
+            self.end,
+            self.judge,
+            self.cache,
+            self.fail_over,
+        ]
         self.random.choice(kinds)()
 
-    def rent(self) -> None:
+    def scale_out(self) -> None:
         if self.machines < 40:
             self.machines += 1
             machine = self.cluster.machine(self.machines, self.random.choice(ZONES))
@@ -98,7 +112,7 @@
         task = next(chosen.pending_tasks(), None)
         machine = self.random.choice(list(self.cluster.fleet.machines.values()))
         if task is not None:
-            number = self.cluster.scheduler.next_number()
+            number = self.cluster.scheduler.next_record_number()
             add = self.cluster.cluster_state.add_attempt
             self.attempts.append(add(number, chosen, task, machine.index, 1))
 
@@ -112,7 +126,7 @@
             self.cluster.cluster_state.release(attempt)
 
     def judge(self) -> None:
-        """What else decides whether a machine may be given work."""
+        """Change something else that decides whether a machine is schedulable."""
         if not self.cluster.fleet.machines:
             return
         epoch = self.cluster.fleet.epoch
@@ -142,8 +156,8 @@
             else:
                 machine.use_image(self.random.randrange(9), 3.0, 10.0)
 
-    def lose(self) -> None:
-        """A take-over drops machines that it knows nothing of."""
+    def fail_over(self) -> None:
+        """A failover drops machines of which it knows nothing."""
         if self.random.random() < 0.03:
             keep = [m.name for m in self.cluster.fleet.machines.values() if m.index % 3]
             self.cluster.fleet.fail_over(self.cluster.fleet.epoch + 1, now(), keep)
@@ -152,47 +166,45 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_index_is_the_recount_after_any_change(seed: int) -> None:
-    def scenario(cluster: Cluster) -> None:
-        changes = RandomChanges(cluster, seed)
-        free = FreeRoom(cluster.cluster_state, cluster.fleet, lambda: cluster.types)
-        compared = 0
-        for step in range(2000):
-            changes.change()
-            if step % 3 == 0:  # several changes at once, too
-                free.refresh()
-                usable, surplus = recounted(cluster)
-                assert free.cores() == sum(
-                    cluster.types[m.machine_type].cores
-                    for m in cluster.fleet.machines.values()
-                    if m.accepts_work or m.health is Health.BOOTING
-                )
-                for index, expected in ((free.usable, usable), (free.surplus, surplus)):
-                    got = {m: state_of(slot) for m, slot in index.slots.items()}
-                    assert got == expected
-                    compared += len(expected)
-        assert compared > 3000
-
-    run(scenario)
+@cluster_test
+def test_the_index_equals_a_recount_after_any_change(cluster: Cluster, seed: int) -> None:
+    changes = RandomChanges(cluster, seed)
+    free = FreeCapacity(cluster.cluster_state, cluster.fleet, lambda: cluster.types)
+    compared = 0
+    for step in range(2000):
+        changes.change()
+        if step % 3 == 0:  # several changes at once, too
+            free.refresh()
+            usable, surplus = recounted(cluster)
+            assert free.cores() == sum(
+                cluster.types[m.machine_type].cores
+                for m in cluster.fleet.machines.values()
+                if m.accepts_work or m.health is Health.BOOTING
+            )
+            for index, expected in ((free.usable, usable), (free.surplus, surplus)):
+                got = {m: snapshot_of(machine) for m, machine in index.machines.items()}
+                assert got == expected
+                compared += len(expected)
+    assert compared > 3000
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_decisions_that_are_dropped_leave_no_trace(seed: int) -> None:
-    """Requests that are placed one after the other in the same index, and a gang undone between."""
-    requests, slots, teams = random_case(seed)
+def test_discarded_decisions_leave_no_trace(seed: int) -> None:
+    """A gang that can't be placed is rolled back before other requests are placed."""
+    requests, machines, quotas = random_case(seed)
     expected = model(*random_case(seed))
-    index = RoomIndex(slots)
+    index = CapacityIndex(machines)
     gang = requests[0]._replace(
         all_or_nothing=True, pending=10_000, occupancy=JobOccupancy(), spread_zones=False
     )
     assert place_requests([gang], index, [QuotaHeadroom(1e9, 1e9)] * 2).placed == []
-    assert sorted(place_requests(requests, index, teams).placed) == sorted(expected)
+    assert sorted(task_placements(place_requests(requests, index, quotas))) == sorted(expected)
 
 
-def fleet_of(machines: int, full_share: float, cached_share: float) -> RoomIndex:
+def fleet_of(machines: int, full_share: float, cached_share: float) -> CapacityIndex:
     draw = random.Random(machines)
-    return RoomIndex(
-        Slot(
+    return CapacityIndex(
+        MachineCapacity(
             n,
             0,
             0,
@@ -218,10 +230,10 @@
 @pytest.mark.parametrize(
     "more", [{}, {"single_zone": True}, {"spread_machines": True}, {"spread_zones": True}]
 )
-def test_one_task_looks_at_few_machines(
+def test_placing_one_task_examines_few_machines(
     full_share: float, cached_share: float, more: dict[str, object]
 ) -> None:
-    """Counted, for it repeats exactly: at 8,000 machines a task may look at a few dozen."""
+    """The count is exactly repeatable, unlike a time."""
     index = fleet_of(8000, full_share, cached_share)
     place_requests([one_task(**more)], index, [QuotaHeadroom(99.0, 0.0)])
-    assert index.looked_at <= 100
+    assert index.examined_count <= 100
--- a/petrelthread/scheduling/test_job_order.py
+++ b/petrelthread/scheduling/test_job_order.py
@@ -1,4 +1,4 @@
-"""The order compared with a slow plain model, and the bound on how long a job may wait."""
+"""The job order: its rules, a comparison with a slow plain model, and the longest wait."""
 
 from __future__ import annotations
 
@@ -7,74 +7,149 @@
 
 import pytest
 
-from petrelthread.scheduling import QueueEntry, order_jobs
+from petrelthread.scheduling import Guarantee, QueueEntry, order_jobs
 from petrelthread.scheduling.job_order import MAX_START_DELAY_S
 
 CORES = 10.0
 
 
+def started_entry(
+    job_index: int,
+    team: int,
+    priority: int,
+    accepted_at: float,
+    objective_times: list[float],
+    critical_path_s: float,
+) -> QueueEntry:
+    """A job that has started and whose team's limit alone holds it back."""
+    return QueueEntry(
+        job_index,
+        team,
+        priority,
+        accepted_at,
+        tuple(objective_times),
+        critical_path_s,
+        100.0,
+        0.0,
+        started=True,
+    )
+
+
+def test_the_order_is_guarantee_then_priority_then_deadline() -> None:
+    jobs = [
+        started_entry(0, 0, 1, 10.0, [500.0], 5.0)._replace(remaining_core_s=2000.0),  # 200 s
+        started_entry(1, 1, 2, 11.0, [400.0], 5.0),
+        started_entry(2, 2, 2, 12.0, [300.0], 5.0),
+        started_entry(3, 3, 0, 13.0, [], 5.0)._replace(requested_cores=4.0),  # guaranteed
+        started_entry(4, 4, 2, 1.0, [600.0], 350.0),  # long: has to start by 250
+        started_entry(5, 5, 2, 1.0, [30.0], 90.0),  # late anyway
+    ]
+    order = order_jobs(jobs, [Guarantee(8.0, 0.0)] * 6, 20.0, CORES)
+    assert [queued.job_index for queued in order] == [3, 4, 2, 1, 5, 0]
+    assert [queued.guaranteed for queued in order] == [True] + [False] * 5
+
+
+def test_a_late_job_longer_than_the_backlog_goes_on_meanwhile() -> None:
+    """Served last, it would run on alone on nearly empty machines after all else is done."""
+    jobs = [
+        started_entry(0, 0, 1, 0.0, [300.0], 5.0)._replace(remaining_core_s=1000.0),
+        started_entry(1, 1, 1, 0.0, [100.0], 216.0)._replace(remaining_core_s=500.0),
+        started_entry(2, 2, 1, 0.0, [50.0], 90.0)._replace(remaining_core_s=500.0),
+        started_entry(3, 3, 1, 0.0, [80.0], 20.0),  # has to start within 40 s
+    ]
+    order = order_jobs(jobs, [Guarantee(8.0, 0.0)] * 4, 20.0, CORES)  # all done in 200 s
+    assert [queued.job_index for queued in order] == [3, 1, 0, 2]
+
+
+def test_the_longest_job_of_a_team_gives_way_and_gets_its_next_objective() -> None:
+    jobs = [
+        started_entry(0, 0, 1, 0.0, [100.0, 200.0], 80.0),
+        started_entry(1, 0, 1, 1.0, [101.0, 201.0], 40.0),
+        started_entry(2, 0, 1, 2.0, [102.0, 202.0], 50.0),
+    ]
+    order = order_jobs(jobs, [Guarantee(0.0, 0.0)], 0.0)
+    assert {queued.job_index: queued.due_at for queued in order} == {0: 200.0, 1: 101.0, 2: 102.0}
+    assert [queued.job_index for queued in order] == [2, 1, 0]  # 0 before 1 would make 1 late
+
+
+def test_a_guarantee_counts_the_earlier_jobs_of_the_team() -> None:
+    jobs = [
+        started_entry(0, 0, 1, 1.0, [], 1.0)._replace(requested_cores=6.0),
+        started_entry(1, 0, 1, 2.0, [], 1.0)._replace(requested_cores=4.0),  # not with the first
+        started_entry(2, 0, 1, 3.0, [], 1.0)._replace(requested_cores=2.0),
+    ]
+    order = order_jobs(jobs, [Guarantee(8.0, 0.0)], 0.0)
+    guaranteed = {queued.job_index: queued.guaranteed for queued in order}
+    assert guaranteed == {0: True, 1: False, 2: True}
+
+
 def random_jobs(seed: int) -> list[QueueEntry]:
-    r = random.Random(seed)
-    out = []
-    for job in range(r.randrange(2, 8)):
-        goal = float(r.randrange(10, 120))
-        work = float(r.randrange(50, 700))
-        out.append(
-            QueueEntry(job, job, 1, float(job), (goal,), 0.0, 50.0, 0.0, 0.0, 0.0, CORES, work)
+    """Jobs that compete for the shared cores alone."""
+    draw = random.Random(seed)
+    jobs = []
+    for index in range(draw.randrange(2, 8)):
+        due_at = float(draw.randrange(10, 120))
+        work = float(draw.randrange(50, 700))
+        jobs.append(
+            QueueEntry(
+                index, index, 1, float(index), (due_at,), 0.0, 50.0, 0.0, 0.0, 0.0, CORES, work
+            )
         )
-    return out
+    return jobs
 
 
-def all_in_time(jobs: tuple[QueueEntry, ...]) -> bool:
+def are_on_time(jobs: tuple[QueueEntry, ...]) -> bool:
+    """Whether all of them are on time if they are served by due time."""
     end = 0.0
-    for standing in sorted(jobs, key=lambda s: s.goals[0]):
-        end += standing.work_s / CORES
-        if end > standing.goals[0]:
+    for job in sorted(jobs, key=lambda job: job.objective_times[0]):
+        end += job.remaining_core_s / CORES
+        if end > job.objective_times[0]:
             return False
     return True
 
 
-def most_in_time(jobs: list[QueueEntry]) -> int:
+def max_on_time(jobs: list[QueueEntry]) -> int:
     """The slow plain model: every choice of jobs."""
     return max(
         size
         for size in range(len(jobs) + 1)
-        if any(all_in_time(chosen) for chosen in combinations(jobs, size))
+        if any(are_on_time(chosen) for chosen in combinations(jobs, size))
     )
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_as_many_jobs_are_in_time_as_the_shared_cores_allow(block: int) -> None:
-    hard = 0
+def test_as_many_jobs_are_on_time_as_the_shared_cores_allow(block: int) -> None:
+    cases_with_late_jobs = 0
     for seed in range(block * 50, block * 50 + 50):
         jobs = random_jobs(seed)
-        turns = order_jobs(jobs, [(0.0, 0.0)] * len(jobs), 0.0, CORES)
-        kept = tuple(jobs[turn.job] for turn in turns if turn.due_at < 1000.0)
-        assert all_in_time(kept)
-        assert len(kept) == most_in_time(jobs), f"seed {seed}"
-        hard += len(kept) < len(jobs)
-    assert hard > 10  # the cases are not trivial
+        order = order_jobs(jobs, [Guarantee(0.0, 0.0)] * len(jobs), 0.0, CORES)
+        on_time = tuple(jobs[queued.job_index] for queued in order if queued.due_at < 1000.0)
+        assert are_on_time(on_time)
+        assert len(on_time) == max_on_time(jobs), f"seed {seed}"
+        cases_with_late_jobs += len(on_time) < len(jobs)
+    assert cases_with_late_jobs > 10  # the cases are not trivial
 
 
 def test_a_large_job_gives_way_to_many_small_ones_of_other_teams() -> None:
-    # Ordered by slack alone, all of them were late together.
+    """Ordered by slack alone, all of them would be late together."""
     small = [
-        QueueEntry(n, n, 1, 1.0, (100.0, 300.0), 10.0, 50.0, 0.0, 10.0, 0.0, 10.0, 200.0)
-        for n in range(4)
+        QueueEntry(index, index, 1, 1.0, (100.0, 300.0), 10.0, 50.0, 0.0, 10.0, 0.0, 10.0, 200.0)
+        for index in range(4)
     ]
     large = QueueEntry(4, 4, 1, 0.0, (99.0, 299.0), 60.0, 500.0, 0.0, 10.0, 0.0, 10.0, 800.0)
-    got = order_jobs([*small, large], [(0.0, 0.0)] * 5, 0.0, CORES)
-    assert [turn.job for turn in got] == [0, 1, 2, 3, 4]
-    assert got[-1].due_at == 299.0
+    order = order_jobs([*small, large], [Guarantee(0.0, 0.0)] * 5, 0.0, CORES)
+    assert [queued.job_index for queued in order] == [0, 1, 2, 3, 4]
+    assert order[-1].due_at == 299.0
 
 
-def test_a_job_that_gave_way_begins_all_the_same() -> None:
-    # Moore's rule alone would let the largest job wait for as long as small ones keep coming.
+def test_a_job_that_gave_way_starts_all_the_same() -> None:
+    """Otherwise the largest job could wait for as long as small ones keep coming."""
+    guarantees = [Guarantee(0.0, 0.0)] * 2
     large = QueueEntry(0, 0, 1, 0.0, (90.0,), 60.0, 500.0, 0.0, 10.0, 0.0, 10.0, 5000.0)
     for now in (10.0, MAX_START_DELAY_S - 1, MAX_START_DELAY_S + 1, 200.0):
         fresh = QueueEntry(1, 1, 2, now, (now + 50.0,), 5.0, 50.0, 0.0, 5.0, 0.0, 10.0, 100.0)
-        got = order_jobs([large, fresh], [(0.0, 0.0)] * 2, now, CORES)
-        assert [turn.job for turn in got] == [1, 0]  # rank comes first,
-        assert got[1].overdue == (now > MAX_START_DELAY_S)  # but one task goes before all else
-    begun = large._replace(begun=True)
-    assert not order_jobs([begun], [(0.0, 0.0)], 200.0, CORES)[0].overdue
+        order = order_jobs([large, fresh], guarantees, now, CORES)
+        assert [queued.job_index for queued in order] == [1, 0]  # priority comes first,
+        assert order[1].overdue == (now > MAX_START_DELAY_S)  # but one task before all else
+    started = large._replace(started=True)
+    assert not order_jobs([started], guarantees, 200.0, CORES)[0].overdue
--- a/petrelthread/scheduling/test_reservations.py
+++ b/petrelthread/scheduling/test_reservations.py
@@ -1,48 +1,71 @@
-"""Which machine is kept for a job that should have begun."""
+"""Which machine is reserved for an overdue job that fits nowhere."""
 
 from __future__ import annotations
 
-from petrelthread.scheduling.capacity_index import RoomIndex
+import pytest
+
+from petrelthread.scheduling import (
+    CapacityIndex,
+    MachineCapacity,
+    PlacementRequest,
+    QuotaHeadroom,
+)
 from petrelthread.scheduling.occupancy import JobOccupancy
 from petrelthread.scheduling.reservations import reserve_machines
-from petrelthread.scheduling.slot import PlacementRequest, QuotaHeadroom, Slot
 
-WHOLE = {0: (4.0, 32.0), 1: (32.0, 128.0), 2: (64.0, 256.0)}  # cores and memory, by type
+EMPTY_MACHINES = {0: (4.0, 32.0), 1: (32.0, 128.0), 2: (64.0, 256.0)}  # cores and GB, by type
+AMPLE = QuotaHeadroom(1e12, 1e12)
 
 
-def holding(request: PlacementRequest) -> set[int]:
+def fitting_machine_types(request: PlacementRequest) -> set[int]:
     return {
-        index
-        for index, (cores, ram_gb) in WHOLE.items()
+        machine_type
+        for machine_type, (cores, ram_gb) in EMPTY_MACHINES.items()
         if request.cores <= cores and request.ram_gb <= ram_gb
     }
 
 
-def slot(machine: int, cores: float) -> Slot:
-    return Slot(machine, machine, 0, True, cores, 0.0, 128.0, set())
+def request(
+    job: int = 7, cores: float = 16.0, machine_types: frozenset[int] | None = None
+) -> PlacementRequest:
+    return PlacementRequest(
+        job, 0, 9, 1, cores, 0.0, 50.0, 0, machine_types, None, True, False, False, JobOccupancy()
+    )
 
 
-def request(job: int, cores: float = 16.0, **more: object) -> PlacementRequest:
-    nowhere = JobOccupancy()
-    base = PlacementRequest(
-        job, 0, 9, 1, cores, 0.0, 50.0, 0, None, None, True, False, False, nowhere
+def reserved(
+    requests: list[PlacementRequest],
+    previous: dict[int, int] | None = None,
+    quota: QuotaHeadroom = AMPLE,
+) -> dict[int, int]:
+    """The reservations on three machines, one of each type, with few cores free."""
+    index = CapacityIndex(
+        MachineCapacity(machine_type, machine_type, 0, True, free_cores, 0.0, 128.0, set())
+        for machine_type, free_cores in enumerate((4.0, 2.0, 6.0))
     )
-    return base._replace(**more)  # type: ignore[arg-type]
+    return reserve_machines(requests, index, fitting_machine_types, [quota], previous or {})
 
 
-def test_the_machine_where_least_has_to_fall_free_and_it_stays_that_one() -> None:
-    slots = RoomIndex([slot(0, 4.0), slot(1, 2.0), slot(2, 6.0)])
-    rich = [QuotaHeadroom(1e12, 1e12)]
-    assert reserve_machines([request(7)], slots, holding, rich, {}) == {7: 2}
-    assert reserve_machines([request(7)], slots, holding, rich, {7: 1}) == {7: 1}
-    assert reserve_machines([request(7), request(8)], slots, holding, rich, {}) == {
-        7: 2,
-        8: 1,
-    }
-    # None is kept without need: it fits somewhere, may not run, or no machine is large enough.
-    assert reserve_machines([request(7, cores=4.0)], slots, holding, rich, {}) == {}
-    assert reserve_machines([request(7)], slots, holding, [QuotaHeadroom(8.0, 0.0)], {}) == {}
-    assert reserve_machines([request(7, cores=80.0)], slots, holding, rich, {}) == {}
-    assert (
-        reserve_machines([request(7, machine_types=frozenset({0}))], slots, holding, rich, {}) == {}
-    )
+def test_the_machine_with_most_free_is_reserved() -> None:
+    assert reserved([request()]) == {7: 2}
+
+
+def test_a_reservation_stays_as_long_as_it_can_serve() -> None:
+    assert reserved([request()], previous={7: 1}) == {7: 1}
+
+
+def test_each_job_gets_a_machine_of_its_own() -> None:
+    assert reserved([request(7), request(8)]) == {7: 2, 8: 1}
+
+
+@pytest.mark.parametrize(
+    ("needless", "quota"),
+    [
+        pytest.param(request(cores=4.0), AMPLE, id="it fits on a machine"),
+        pytest.param(request(), QuotaHeadroom(8.0, 0.0), id="its team's quota is used up"),
+        pytest.param(request(cores=80.0), AMPLE, id="no machine is large enough"),
+        pytest.param(request(machine_types=frozenset({0})), AMPLE, id="no allowed one is"),
+    ],
+)
+def test_nothing_is_reserved_without_use(needless: PlacementRequest, quota: QuotaHeadroom) -> None:
+    assert reserved([needless], quota=quota) == {}
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -8,8 +8,8 @@
 
 from petrelthread.fleet import Health, Machine
 from petrelthread.scheduling.start_validator import Start, Violation
-from petrelthread.scheduling.test_scheduler import EPOCH, Cluster, run
 from petrelthread.state import Job, encode
+from tests.scheduling_cluster import EPOCH, Cluster, cluster_test
 from tests.world import job
 
 pytestmark = pytest.mark.refused_starts_expected
@@ -35,53 +35,46 @@
         self.cluster.cluster_state.add_attempt(number, self.job, task, machine.index, 1)
 
 
-def test_what_is_allowed_passes() -> None:
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster)
-        assert case.refused((0, A), (1, B), (2, A), (3, B)) == []
+@cluster_test
+def test_allowed_starts_pass(cluster: Cluster) -> None:
+    case = Case(cluster)
+    assert case.refused((0, A), (1, B), (2, A), (3, B)) == []
 
-    run(scenario)
 
+@cluster_test
+def test_starts_of_one_round_are_checked_together_with_what_is_live(cluster: Cluster) -> None:
+    case = Case(cluster, same_place=True)
+    assert case.refused((0, A), (1, B), (2, A)) == [(1, Violation.SINGLE_ZONE)]
+    case.live(3, case.machines[B])
+    assert case.refused((0, A), (1, B)) == [(0, Violation.SINGLE_ZONE)]
 
-def test_starts_of_one_round_are_checked_together_with_what_is_live() -> None:
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster, same_place=True)
-        assert case.refused((0, A), (1, B), (2, A)) == [(1, Violation.SINGLE_ZONE)]
-        case.live(3, case.machines[B])
-        assert case.refused((0, A), (1, B)) == [(0, Violation.SINGLE_ZONE)]
 
-    run(scenario)
-
-
-def test_a_spread_job_has_half_of_its_tasks_in_a_zone() -> None:
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster, scatter=True)
-        assert case.refused((0, A), (1, A), (2, A), (3, B)) == [(2, Violation.SPREAD)]
-        case.live(3, case.machines[A])
-        assert case.refused((0, A), (1, A)) == [(1, Violation.SPREAD)]
-
-    run(scenario)
+@cluster_test
+def test_a_spread_job_has_at_most_half_of_its_tasks_in_a_zone(cluster: Cluster) -> None:
+    case = Case(cluster, scatter=True)
+    assert case.refused((0, A), (1, A), (2, A), (3, B)) == [(2, Violation.SPREAD)]
+    case.live(3, case.machines[A])
+    assert case.refused((0, A), (1, A)) == [(1, Violation.SPREAD)]
 
 
 @pytest.mark.parametrize(
     ("flag", "violation"),
     [("same_place", Violation.SINGLE_ZONE), ("scatter", Violation.SPREAD)],
 )
-def test_a_task_whose_zone_is_not_known_may_be_in_any(flag: str, violation: Violation) -> None:
-    """After a take-over a machine is not listed yet; or it is not even in the table."""
-
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster, **{flag: True})
-        unlisted = cluster.fleet.get_or_add("host-000009", 0.0)
-        case.live(0, unlisted)
-        case.live(1, unlisted)
-        assert case.refused((2, A)) == [(2, violation)]
-        del cluster.fleet.machines[unlisted.index]
-        assert case.refused((2, B)) == [(2, violation)]
-        # Nor does the decision itself start anything there.
-        assert cluster.zones_of_starts("wk-000001") == []
-
-    run(scenario)
+@cluster_test
+def test_a_task_whose_zone_is_unknown_may_be_in_any_zone(
+    cluster: Cluster, flag: str, violation: Violation
+) -> None:
+    """After a failover a machine is not listed yet, or it is not even known."""
+    case = Case(cluster, **{flag: True})
+    unlisted = cluster.fleet.get_or_add("host-000009", 0.0)
+    case.live(0, unlisted)
+    case.live(1, unlisted)
+    assert case.refused((2, A)) == [(2, violation)]
+    del cluster.fleet.machines[unlisted.index]
+    assert case.refused((2, B)) == [(2, violation)]
+    # The decision itself starts nothing there either.
+    assert cluster.zones_of_starts("wk-000001") == []
 
 
 @pytest.mark.parametrize(
@@ -92,66 +85,60 @@
         ({"hulls": ["large"]}, Violation.MACHINE_TYPE),
     ],
 )
-def test_a_machine_that_the_job_does_not_allow(spec: dict[str, Any], violation: Violation) -> None:
-    def scenario(cluster: Cluster) -> None:
-        assert Case(cluster, **spec).refused((0, A)) == [(0, violation)]
-
-    run(scenario)
-
-
-def test_a_team_stays_within_its_limit() -> None:
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster)
-        limit = int(cluster.settings.cluster.teams[0].most_cores)
-        other = cluster.accept(job("wk-000002", 1, cores=limit - 2.0))
-        cluster.cluster_state.add_attempt(1, other, 0, case.machines[A].index, 1)
-        assert case.refused((0, A), (1, A), (2, B)) == [(2, Violation.TEAM_LIMIT)]
-
-    run(scenario)
-
-
-def test_a_task_is_started_once_and_only_while_it_is_wanted() -> None:
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster)
-        case.live(0, case.machines[A])
-        cluster.cluster_state.mark_task_finished(case.job, 1)
-        cluster.fleet.finished_tasks[case.job.index] = {2}
-        assert case.refused((0, A), (1, A), (2, A), (3, A), (3, B)) == [
-            (0, Violation.NOT_PENDING),
-            (1, Violation.NOT_PENDING),
-            (2, Violation.NOT_PENDING),
-            (3, Violation.DECIDED_TWICE),
-        ]
-        case.machines[B].transition(Health.UNRESPONSIVE)
-        assert case.refused((3, B)) == [(3, Violation.MACHINE)]
-        cluster.cluster_state.set_final_status("wk-000001", "aborted")
-        assert case.refused((3, A)) == [(3, Violation.JOB_OVER)]
-
-    run(scenario)
-
-
-def test_a_gang_starts_whole_or_not_at_all() -> None:
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster, shape="group", same_place=True)
-        refused = case.refused((0, A), (1, B), (2, A))
-        assert refused == [
-            (1, Violation.SINGLE_ZONE),
-            (0, Violation.GANG),
-            (2, Violation.GANG),
-        ]
-
-    run(scenario)
-
-
-def test_what_is_refused_is_not_claimed_and_is_said(caplog: pytest.LogCaptureFixture) -> None:
-    def scenario(cluster: Cluster) -> None:
-        case = Case(cluster, same_place=True)
-        decided = [Start(case.job, 0, case.machines[A]), Start(case.job, 1, case.machines[B])]
-        claim = cluster.builder.build(decided, [], 0.0)
-        assert [encode(record) for _, record in claim.rounds] == [
-            [["host-000001", 1, [["wk-000001", [0]]]]]
-        ]
-
-    run(scenario)
+@cluster_test
+def test_a_machine_that_the_job_does_not_allow_is_refused(
+    cluster: Cluster, spec: dict[str, Any], violation: Violation
+) -> None:
+    assert Case(cluster, **spec).refused((0, A)) == [(0, violation)]
+
+
+@cluster_test
+def test_a_team_stays_within_its_limit(cluster: Cluster) -> None:
+    case = Case(cluster)
+    limit = int(cluster.settings.cluster.teams[0].most_cores)
+    other = cluster.accept(job("wk-000002", 1, cores=limit - 2.0))
+    cluster.cluster_state.add_attempt(1, other, 0, case.machines[A].index, 1)
+    assert case.refused((0, A), (1, A), (2, B)) == [(2, Violation.TEAM_LIMIT)]
+
+
+@cluster_test
+def test_a_task_is_started_once_and_only_while_it_is_wanted(cluster: Cluster) -> None:
+    case = Case(cluster)
+    case.live(0, case.machines[A])
+    cluster.cluster_state.mark_task_finished(case.job, 1)
+    cluster.fleet.finished_tasks[case.job.index] = {2}
+    assert case.refused((0, A), (1, A), (2, A), (3, A), (3, B)) == [
+        (0, Violation.NOT_PENDING),
+        (1, Violation.NOT_PENDING),
+        (2, Violation.NOT_PENDING),
+        (3, Violation.DECIDED_TWICE),
+    ]
+    case.machines[B].transition(Health.UNRESPONSIVE)
+    assert case.refused((3, B)) == [(3, Violation.MACHINE)]
+    cluster.cluster_state.set_final_status("wk-000001", "aborted")
+    assert case.refused((3, A)) == [(3, Violation.JOB_ENDED)]
+
+
+@cluster_test
+def test_a_gang_starts_whole_or_not_at_all(cluster: Cluster) -> None:
+    case = Case(cluster, shape="group", same_place=True)
+    refused = case.refused((0, A), (1, B), (2, A))
+    assert refused == [
+        (1, Violation.SINGLE_ZONE),
+        (0, Violation.GANG),
+        (2, Violation.GANG),
+    ]
+
+
+@cluster_test
+def test_a_refused_start_is_logged_and_not_claimed(
+    cluster: Cluster, caplog: pytest.LogCaptureFixture
+) -> None:
+    case = Case(cluster, same_place=True)
+    decided = [Start(case.job, 0, case.machines[A]), Start(case.job, 1, case.machines[B])]
+    claim = cluster.builder.build(decided, [], 0.0)
+    assert [encode(record) for _, record in claim.records] == [
+        [["host-000001", 1, [["wk-000001", [0]]]]]
+    ]
     assert [r.levelname for r in caplog.records] == ["ERROR"]
     assert "wk-000001/1 on host-000002 left out" in caplog.text
--- /dev/null
+++ b/tests/scheduling_cluster.py
@@ -0,0 +1,151 @@
+"""A leader's scheduler over a small cluster, for tests of decisions; nothing is ever sent."""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+import inspect
+import time
+from collections.abc import Awaitable, Callable
+from typing import Any, Concatenate, ParamSpec, cast
+
+import msgspec
+
+from petrelthread import protocol
+from petrelthread.fleet import CommandDispatcher, Fleet, Health, Machine
+from petrelthread.leadership import ClaimOutcome, ClaimWriter
+from petrelthread.scheduling import ClusterView, RunTimeEstimates, Scheduler
+from petrelthread.scheduling.claim_builder import ClaimBuilder
+from petrelthread.scheduling.job_order import MAX_START_DELAY_S
+from petrelthread.scheduling.start_validator import StartValidator
+from petrelthread.settings import Settings, parse
+from petrelthread.state import (
+    Attempt,
+    ClusterState,
+    InternedNames,
+    Job,
+    JobRecord,
+    epoch_base_number,
+)
+from tests.virtual import play
+from tests.world import HULLS, SETTINGS, job
+
+Params = ParamSpec("Params")
+
+EPOCH = 4
+OVERDUE_S = MAX_START_DELAY_S + 27.0
+ZONES = ("a", "b", "c")
+
+
+class ScriptedClaims:
+    """Wins every claim; ``meanwhile`` happens while it is under way."""
+
+    def __init__(self) -> None:
+        self.meanwhile: Callable[[], None] = lambda: None
+
+    async def claim(
+        self, ops: list[protocol.Operation], marker: str | None = None, absent: tuple[str, ...] = ()
+    ) -> tuple[ClaimOutcome, tuple[str, ...]]:
+        self.meanwhile()
+        return ClaimOutcome.COMMITTED, ()
+
+
+class RecordingDispatch:
+    """Keeps what would be sent."""
+
+    def __init__(self) -> None:
+        self.launched: list[Attempt] = []
+
+    def send(self, launches: list[Attempt], stops: list[Attempt]) -> None:
+        self.launched += launches
+
+
+class Cluster:
+    """The leader's knowledge, with a real scheduler over it; nothing is ever sent."""
+
+    def __init__(self) -> None:
+        self.claims = ScriptedClaims()
+        self.dispatch = RecordingDispatch()
+        text = SETTINGS.format(name="n0", siblings="").replace('["a", "b"]', '["a", "b", "c"]')
+        self.settings: Settings = parse(text)
+        self.names = InternedNames([team.name for team in self.settings.cluster.teams], ZONES)
+        self.cluster_state = ClusterState(self.names)
+        self.fleet = Fleet(
+            self.cluster_state, lease_s=10.0, heartbeat_interval_s=1.0, lease_grace_s=20.0
+        )
+        self.fleet.epoch = EPOCH
+        small = msgspec.convert(HULLS[0], protocol.MachineType)
+        self.types = {self.names.machine_types.index(small.name): small}
+        view = ClusterView(
+            self.settings, self.cluster_state, self.fleet, lambda: self.types, RunTimeEstimates()
+        )
+
+        async def refresh() -> bool:
+            return True
+
+        self.scheduler = Scheduler(
+            self.settings,
+            self.cluster_state,
+            self.fleet,
+            cast(ClaimWriter, self.claims),
+            cast(CommandDispatcher, self.dispatch),
+            view,
+            refresh,
+            lambda now: 0,
+        )
+        self.scheduler.fail_over(EPOCH)
+        self.check = StartValidator(self.cluster_state, self.fleet, self.settings.cluster.teams)
+        self.builder = ClaimBuilder(
+            self.settings.cluster.state,
+            self.cluster_state,
+            self.fleet,
+            self.check,
+            self.scheduler.next_record_number,
+            lambda now: 0,
+            [],
+        )
+
+    def machine(self, number: int, zone: str, taken_cores: float = 0.0) -> Machine:
+        """A machine of 4 cores that has reported; ``taken_cores`` of them hold other work."""
+        machine = self.fleet.get_or_add(f"host-{number:06d}", now())
+        machine.machine_type, machine.zone, machine.spot = 0, self.names.zones.index(zone), True
+        machine.incarnation, machine.acknowledged_epoch, machine.health = 1, EPOCH, Health.UP
+        if taken_cores:
+            other = self.accept(job(f"wk-9{number:05d}", 1, cores=taken_cores, crew="guest"))
+            self.cluster_state.add_attempt(epoch_base_number(EPOCH) - 1, other, 0, machine.index, 1)
+        return machine
+
+    def accept(self, spec: dict[str, Any], waited_s: float = 0.0) -> Job:
+        accepted_at = time.time() - waited_s
+        record = JobRecord.from_spec(msgspec.convert(spec, protocol.JobSpec), accepted_at)
+        return self.cluster_state.add_job(spec["name_id"], record)
+
+    def zones_of_starts(self, job_id: str) -> list[str]:
+        """Where the starts of one round's decision would put the job's tasks."""
+        starts = self.scheduler.decide(now()).starts
+        zones = self.names.zones
+        return [zones.name(start.machine.zone) for start in starts if start.job.id == job_id]
+
+
+def now() -> float:
+    return asyncio.get_running_loop().time()
+
+
+def cluster_test(
+    scenario: Callable[Concatenate[Cluster, Params], Awaitable[None] | None],
+) -> Callable[Params, None]:
+    """Run a test on a new cluster, in virtual time; its other parameters are those of pytest."""
+
+    @functools.wraps(scenario)
+    def test(*args: Params.args, **kwargs: Params.kwargs) -> None:
+        async def main() -> None:
+            outcome = scenario(Cluster(), *args, **kwargs)
+            if outcome is not None:
+                await outcome
+
+        play(main())
+
+    signature = inspect.signature(scenario)
+    pytest_parameters = list(signature.parameters.values())[1:]
+    test.__signature__ = signature.replace(parameters=pytest_parameters)  # type: ignore[attr-defined]
+    return test
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -30,9 +30,9 @@
         now = asyncio.get_running_loop().time()
         rounds = 0
         while job.pending_count:
-            starts, stops = node.scheduler.decide(now)
-            claim = node.scheduler.builder.build(starts, stops, now)
-            assert claim.rounds and len(claim.operations) <= state.txn_ops
+            decision = node.scheduler.decide(now)
+            claim = node.scheduler.claim_builder.build(decision.starts, decision.preemptions, now)
+            assert claim.records and len(claim.operations) <= state.txn_ops
             for operation in claim.operations:
                 value = getattr(operation, "value", None)
                 assert len(orjson.dumps(encode(value))) <= state.value_kb * 1024
@@ -42,9 +42,9 @@
                 len(orjson.dumps(protocol.transaction_request(conditions, claim.operations)))
                 <= BODY_MOST
             )
-            node.scheduler._apply_claim(claim, now)
+            node.scheduler._applier.apply(claim, now)
             rounds += 1
-            assert claim.more is bool(job.pending_count)
+            assert claim.has_more is bool(job.pending_count)
         assert 3 <= rounds <= 20
         for machine in node.fleet.machines.values():
             assert node.cluster_state.usage.machine(machine.index).cores <= 4.0
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -311,7 +311,7 @@
     async def scenario(world: World) -> None:
         world.cloud.capacity = {True: 0, False: 0}
         node = world.nodes[await world.led()]
-        node.scheduler.builder.spare_writes = lambda now: 0  # none to strike them out with
+        node.scheduler.claim_builder.spare_writes = lambda now: 0  # none to strike them out with
         await world.submit(job("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
         old = set(world.cloud.asked)
