--- a/petrelthread/job_api/__init__.py
+++ b/petrelthread/job_api/__init__.py
@@ -1,10 +1,17 @@
-"""What users ask: submit, query, cancel. Any node answers, always against the state service."""
+"""The HTTP API for users: submit, query and cancel jobs; every controller answers."""
 
 from petrelthread.job_api.handler import JobApi
 from petrelthread.job_api.validation import (
     MachineTypesUnknownError,
+    SubmissionRefusedError,
     UnschedulableJobError,
     check_runnable,
 )
 
-__all__ = ["JobApi", "MachineTypesUnknownError", "UnschedulableJobError", "check_runnable"]
+__all__ = [
+    "JobApi",
+    "MachineTypesUnknownError",
+    "SubmissionRefusedError",
+    "UnschedulableJobError",
+    "check_runnable",
+]
--- /dev/null
+++ b/petrelthread/job_api/queries.py
@@ -0,0 +1,87 @@
+"""Queries and cancellations of jobs."""
+
+from __future__ import annotations
+
+import logging
+from http import HTTPStatus
+
+from petrelthread import protocol
+from petrelthread.http import Response, json_response
+from petrelthread.job_api.responses import job_not_found, state_service_unreachable
+from petrelthread.state import ClusterState, Job
+from petrelthread.store import (
+    KEY_PREFIX,
+    LeaseExpiredError,
+    StateClient,
+    StateResultUnknownError,
+    StateUnavailableError,
+    TransactionConflictError,
+    WatchCache,
+)
+
+log = logging.getLogger(__name__)
+
+
+class JobQueries:
+    """Answers from the cluster state, brought up to date wherever it might be outdated."""
+
+    def __init__(
+        self, cluster_state: ClusterState, watch_cache: WatchCache, client: StateClient
+    ) -> None:
+        self._cluster_state = cluster_state
+        self._watch_cache = watch_cache
+        self._client = client
+
+    async def query(self, job_id: str) -> Response:
+        """The state of a job, by an id that a user gave."""
+        if not protocol.JOB_ID.match(job_id):
+            return job_not_found()
+        return await self.state_of(job_id)
+
+    async def state_of(self, job_id: str) -> Response:
+        """The state of a job."""
+        job = self._cluster_state.jobs_by_id.get(job_id)
+        if job is None or job.final_status is None:  # a final state never changes
+            if not await self._watch_cache.refresh():
+                return state_service_unreachable()
+            job = self._cluster_state.jobs_by_id.get(job_id)
+        if job is None:
+            return job_not_found()
+        running = 0 if job.final_status is not None else len(job.live_attempts)
+        return json_response(
+            HTTPStatus.OK, protocol.job_response(job_id, job.status, job.done_count, running)
+        )
+
+    async def cancel(self, job_id: str) -> Response:
+        """Cancel a job unless it is in a final state; the response holds the state that counts."""
+        if not protocol.JOB_ID.match(job_id):
+            return job_not_found()
+        current = await self.state_of(job_id)
+        job = self._cluster_state.jobs_by_id.get(job_id)
+        if current.status != HTTPStatus.OK or job is None:
+            return current
+        if job.final_status is None:
+            try:
+                await self._write_cancellation(job_id)
+            except TransactionConflictError:
+                return await self._final_state_of(job)
+            except (StateUnavailableError, StateResultUnknownError, LeaseExpiredError) as error:
+                log.debug("cancellation not written: %s", error)
+                return state_service_unreachable()
+            self._cluster_state.set_final_status(job_id, protocol.JobStatus.CANCELLED)
+        return json_response(HTTPStatus.OK, protocol.job_response(job_id, job.status))
+
+    async def _write_cancellation(self, job_id: str) -> None:
+        key = f"{KEY_PREFIX}f/{job_id}"
+        await self._client.transact(
+            [protocol.Condition(key, 0)],
+            [protocol.PutOperation(key, protocol.JobStatus.CANCELLED)],
+        )
+
+    async def _final_state_of(self, job: Job) -> Response:
+        """The state of a job that another write has brought to its final state."""
+        if job.final_status is None:
+            await self._watch_cache.refresh()
+        if job.final_status is None:
+            return state_service_unreachable()
+        return json_response(HTTPStatus.OK, protocol.job_response(job.id, job.status))
--- /dev/null
+++ b/petrelthread/job_api/submission.py
@@ -0,0 +1,110 @@
+"""Submission of jobs. A repeated submission is idempotent: it returns the state of the job."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any
+
+import orjson
+
+from petrelthread import protocol
+from petrelthread.http import Response, json_response
+from petrelthread.http.server import error_response
+from petrelthread.job_api.queries import JobQueries
+from petrelthread.job_api.responses import state_service_unreachable
+from petrelthread.job_api.submission_queue import SubmissionOutcome, SubmissionQueue
+from petrelthread.job_api.validation import (
+    RETRY_S,
+    JobTooLargeError,
+    SubmissionRefusedError,
+    check_runnable,
+)
+from petrelthread.settings import Settings
+from petrelthread.state import ClusterState, JobRecord, encode
+from petrelthread.store import StateClient, WatchCache
+
+MAX_WRITE_WAIT_S = 1.5  # a submission that would wait longer for its write is refused at once
+KB = 1000
+
+
+class JobSubmission:
+    """Checks submitted jobs and writes those that can run."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        cluster_state: ClusterState,
+        watch_cache: WatchCache,
+        client: StateClient,
+        machine_types: Callable[[], tuple[protocol.MachineType, ...] | None],
+        queries: JobQueries,
+    ) -> None:
+        """``machine_types``: returns None as long as they are not known."""
+        limits = settings.cluster.state
+        self._teams = {team.name: team for team in settings.cluster.teams}
+        self._max_value_bytes = limits.value_kb * KB
+        self._cluster_state = cluster_state
+        self._watch_cache = watch_cache
+        self._client = client
+        self._machine_types = machine_types
+        self._queries = queries
+        self._queue = SubmissionQueue(client, limits.txn_ops)
+
+    async def submit(self, body: bytes) -> Response:
+        """Accept a job, or say why not."""
+        try:
+            spec = protocol.parse_job(body)
+        except protocol.BadRequestError as error:
+            return error_response(HTTPStatus.BAD_REQUEST, str(error))
+        if spec.job_id in self._cluster_state.jobs_by_id:
+            # An accepted job is never checked again, whatever the repeated request says.
+            return await self._queries.state_of(spec.job_id)
+        value = encode(JobRecord.from_spec(spec, time.time()))
+        try:
+            self._check(spec, value)
+        except SubmissionRefusedError as error:
+            return await self._refuse(spec.job_id, error)
+        if not self._watch_cache.loaded.is_set():
+            return error_response(
+                HTTPStatus.SERVICE_UNAVAILABLE, "still reading the state", RETRY_S
+            )
+        wait_s = self._write_wait_s()
+        if wait_s > MAX_WRITE_WAIT_S:
+            return error_response(
+                HTTPStatus.TOO_MANY_REQUESTS, "too many submissions", max(1, round(wait_s))
+            )
+        return await self._create(spec.job_id, value)
+
+    def _check(self, spec: protocol.JobSpec, value: list[Any]) -> None:
+        if len(orjson.dumps(value)) > self._max_value_bytes:
+            raise JobTooLargeError("the description is too large to keep")
+        check_runnable(spec, self._teams, self._machine_types())
+
+    async def _refuse(self, job_id: str, error: SubmissionRefusedError) -> Response:
+        """Refuse a job unless it was accepted before.
+
+        The watch cache may be outdated, and a job that was accepted must not be refused.
+        """
+        if not await self._watch_cache.refresh():
+            return state_service_unreachable()
+        if job_id in self._cluster_state.jobs_by_id:
+            return await self._queries.state_of(job_id)
+        return error_response(error.status, str(error), error.retry_after_s)
+
+    def _write_wait_s(self) -> float:
+        """How long a submission would wait for its turn to be written, in seconds."""
+        now = asyncio.get_running_loop().time()
+        writes = self._client.write_bucket
+        return max(writes.wait_time_s(now), 0.0) + len(self._queue) / writes.rate
+
+    async def _create(self, job_id: str, value: list[Any]) -> Response:
+        outcome = await self._queue.create(job_id, value)
+        if outcome is SubmissionOutcome.CREATED:
+            body = protocol.job_response(job_id, protocol.JobStatus.QUEUED)
+            return json_response(HTTPStatus.CREATED, body)
+        if outcome is SubmissionOutcome.EXISTS:
+            return await self._queries.state_of(job_id)
+        return state_service_unreachable()
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -1,4 +1,4 @@
-"""What users may send, and what they are told."""
+"""What users may send, and the statuses of the responses."""
 
 from __future__ import annotations
 
@@ -14,6 +14,14 @@
 from tests.world import World, job
 
 
+async def led_world() -> World:
+    """Controllers one of which has led for a second."""
+    world = World()
+    await world.led()
+    await asyncio.sleep(1.0)
+    return world
+
+
 @pytest.mark.parametrize(
     "change",
     [
@@ -37,14 +45,14 @@
         {"shape": "service", "legs": 0},
     ],
 )
-def test_malformed_is_400(change: dict[str, Any]) -> None:
+def test_a_malformed_job_is_400(change: dict[str, Any]) -> None:
     spec = {k: v for k, v in {**job("wk-000001", 2), **change}.items() if v is not ...}
     with pytest.raises(protocol.BadRequestError):
         protocol.parse_job(orjson.dumps(spec))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b"\xff\xfe", b'{"name_id":1e999}', b"null"])
-def test_not_an_object_is_400(body: bytes) -> None:
+def test_a_body_that_is_no_object_is_400(body: bytes) -> None:
     with pytest.raises(protocol.BadRequestError):
         protocol.parse_job(body)
 
@@ -55,53 +63,82 @@
         protocol.parse_job(body)
 
 
-def test_statuses() -> None:
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"crew": "green"},
+        {"cores": 5.0},
+        {"cores": 13.0},
+        {"hulls": ["big"]},
+        {"accelerators": 1.0},
+        {"ram_gb": 9.0},
+        {"roost": "c"},
+    ],
+    ids=str,
+)
+def test_a_job_that_can_never_run_is_422(change: dict[str, Any]) -> None:
     async def main() -> None:
-        world = World()
-        await world.led()
-        await asyncio.sleep(1.0)
-        ask = world.ask
-        too_big: list[dict[str, Any]] = [
-            {"crew": "green"},
-            {"cores": 5.0},
-            {"cores": 13.0},
-            {"hulls": ["big"]},
-        ]
-        for change in [*too_big, {"accelerators": 1.0}, {"ram_gb": 9.0}, {"roost": "c"}]:
-            status, _ = await ask("n0", "POST", "/v2/runs", job("wk-000009", 1, **change))
-            assert status == 422, change
-        assert (await ask("n1", "GET", "/v2/runs/wk-000009"))[0] == 404
-        assert (await ask("n1", "POST", "/v2/runs/wk-000009/withdraw"))[0] == 404
-        assert (await ask("n1", "GET", "/v2/runs"))[0] == 405
-        assert (await ask("n1", "GET", "/nowhere"))[0] == 404
-        world.jobs["wk-000001"] = job("wk-000001", 1)
-        statuses = await asyncio.gather(
-            *(ask(n, "POST", "/v2/runs", world.jobs["wk-000001"]) for n in world.nodes)
+        world = await led_world()
+        status, _ = await world.ask("n0", "POST", "/v2/runs", job("wk-000009", 1, **change))
+        assert status == 422
+        assert (await world.ask("n1", "GET", "/v2/runs/wk-000009"))[0] == 404
+
+    play(main())
+
+
+@pytest.mark.parametrize(
+    ("method", "path", "expected"),
+    [
+        ("GET", "/v2/runs/wk-000009", 404),
+        ("POST", "/v2/runs/wk-000009/withdraw", 404),
+        ("GET", "/v2/runs", 405),
+        ("GET", "/nowhere", 404),
+    ],
+)
+def test_unknown_jobs_paths_and_methods_are_404_or_405(
+    method: str, path: str, expected: int
+) -> None:
+    async def main() -> None:
+        world = await led_world()
+        assert (await world.ask("n1", method, path))[0] == expected
+
+    play(main())
+
+
+def test_one_of_several_submissions_creates_the_job_and_none_is_checked_again() -> None:
+    async def main() -> None:
+        world = await led_world()
+        spec = world.jobs["wk-000001"] = job("wk-000001", 1)
+        answers = await asyncio.gather(
+            *(world.ask(node, "POST", "/v2/runs", spec) for node in world.nodes)
         )
-        assert sorted(status for status, _ in statuses) == [200, 200, 201]
-        # Once accepted, a repeat is never judged again.
-        status, _ = await ask("n0", "POST", "/v2/runs", job("wk-000001", 1, crew="green"))
+        assert sorted(status for status, _ in answers) == [200, 200, 201]
+        status, _ = await world.ask("n0", "POST", "/v2/runs", job("wk-000001", 1, crew="green"))
         assert status == 200
-        # What cannot be known is said at once.
+
+    play(main())
+
+
+def test_an_outage_of_the_state_service_is_503_at_once() -> None:
+    async def main() -> None:
+        world = await led_world()
         world.store.outage(True)
         before = asyncio.get_running_loop().time()
-        assert (await ask("n2", "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
-        assert (await ask("n2", "GET", "/v2/runs/wk-000003"))[0] == 503
+        assert (await world.ask("n2", "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
+        assert (await world.ask("n2", "GET", "/v2/runs/wk-000003"))[0] == 503
         assert asyncio.get_running_loop().time() - before < 1.0
 
     play(main())
 
 
 @pytest.mark.parametrize(("refusals", "expected"), [(2, 201), (9, 503)])
-def test_a_write_refused_for_its_rate_alone_takes_its_turn_again(
+def test_a_write_that_exceeds_the_rate_of_the_state_service_is_retried(
     refusals: int, expected: int
 ) -> None:
-    """102 jobs at the start exceeded the service's burst; their users came back 2 s later."""
+    """A user who is turned away comes back only after seconds."""
 
     async def main() -> None:
-        world = World()
-        await world.led()
-        await asyncio.sleep(1.0)
+        world = await led_world()
         handle, left = world.store.handle, refusals
 
         async def busy(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
@@ -123,14 +160,15 @@
 
 
 def test_a_description_beyond_the_limit_is_400_unless_it_was_accepted_before() -> None:
-    """The limit had been larger when the job was accepted, and this node has not read it yet."""
+    """The limit may have been larger then, and the job be unknown to this controller so far."""
 
     async def main() -> None:
         world = World()
         await world.led()
         large = job("wk-000001", 1, bundle="img-" + "x" * 5000)
         status, answer = await world.ask("n1", "POST", "/v2/runs", large)
-        assert status == 400 and "too large" in answer["error"]
+        assert status == 400
+        assert "too large" in answer["error"]
         spec = protocol.parse_job(orjson.dumps(large))
         stored = encode(JobRecord.from_spec(spec, 0.0))
         world.store._apply([{"put": "pt/j/wk-000001", "v": stored}])
