--- a/petrelthread/state/test_stored_records.py
+++ b/petrelthread/state/test_stored_records.py
@@ -53,7 +53,7 @@
     assert orjson.dumps(encode(decode(value))) == orjson.dumps(value)
 
 
-def test_the_stop_marker_tells_stops_from_starts() -> None:
+def test_the_stop_marker_distinguishes_stops_from_starts() -> None:
     assert [entry.is_stop for entry in decode_round(ROUND)] == [False, True]
 
 
--- a/petrelthread/store/test_client.py
+++ b/petrelthread/store/test_client.py
@@ -51,14 +51,14 @@
         ),
     ],
 )
-def test_a_failed_transaction_tells_whether_it_may_have_been_applied(
+def test_the_error_of_a_transaction_shows_whether_it_may_have_been_applied(
     outcome: ClientResponse | NoResponseError, error: type[StateServiceError]
 ) -> None:
     with pytest.raises(error):
         play(client_that_gets(outcome).transact([], [protocol.PutOperation("pt/a", 1)]))
 
 
-def test_an_expired_lease_is_told_from_an_outage() -> None:
+def test_an_expired_lease_differs_from_an_outage() -> None:
     with pytest.raises(LeaseExpiredError):
         play(client_that_gets(ClientResponse(404, b"{}")).renew_lease(7, 1.0))
     with pytest.raises(StateUnavailableError):
--- a/petrelthread/store/watch_cache.py
+++ b/petrelthread/store/watch_cache.py
@@ -29,14 +29,14 @@
 
 
 class WatchCache:
-    """Follows all keys below ``KEY_PREFIX`` and tells a listener of each change once, in order.
+    """Follows all keys below ``KEY_PREFIX`` and calls a listener once for each change, in order.
 
     Attributes:
         poll_interval_s: pause between two watches.
         revisions: revision of the last change by key without prefix; deleted keys are absent.
-        revision: all changes up to this revision have been told.
+        revision: the listener has had all changes up to this revision.
         loaded: set once all keys have been read.
-        current_as_of: event loop time; every change that the service held then has been told. It
+        current_as_of: event loop time; the listener has had every change made until then. It
             is the start of the newest completed read: changes made during a read may be missing
             from its answer.
     """
@@ -53,25 +53,25 @@
         self._next_refresh: asyncio.Task[bool] | None = None  # has not begun to read
 
     async def load(self) -> None:
-        """Read all keys and tell the differences to what is known.
+        """Read all keys and notify the listener of what differs from the cache.
 
-        A watch may run at the same time and tell of newer changes. What is older than those is
+        A watch may run at the same time and show newer changes. What is older than those is
         skipped, and the revision never decreases.
 
         Raises:
-            StateUnavailableError, StateResultUnknownError: a page could not be read; nothing was
-                told.
+            StateUnavailableError, StateResultUnknownError: a page could not be read; the
+                listener was not called.
         """
         started_at = asyncio.get_running_loop().time()
         snapshot = await self._read_all_keys()
-        told_revision = self.revision  # may have been raised by a watch during the read
+        notified_revision = self.revision  # may have been raised by a watch during the read
         for key, revision in list(self.revisions.items()):
             if key not in snapshot.values and revision <= snapshot.revision:
                 self._notify(key, None, snapshot.revision)
         for key, (value, revision) in sorted(snapshot.values.items(), key=lambda item: item[1][1]):
-            if revision > max(told_revision, self.revisions.get(key, 0)):
+            if revision > max(notified_revision, self.revisions.get(key, 0)):
                 self._notify(key, value, revision)
-        self.revision = max(told_revision, snapshot.revision)
+        self.revision = max(notified_revision, snapshot.revision)
         self.current_as_of = max(self.current_as_of, started_at)
         self.loaded.set()
 
@@ -102,7 +102,7 @@
         self._listener(key, value, revision)
 
     def _apply(self, response: protocol.WatchResponse) -> None:
-        # Two watches may be open at once, so changes up to the known revision were told already.
+        # Two watches may be open at once, so changes up to the known revision are skipped.
         for change in response.changes:
             if change.revision <= self.revision:
                 continue
@@ -136,7 +136,7 @@
                 await asyncio.sleep(FOLLOW_RETRY_S)
 
     async def refresh(self) -> bool:
-        """Tell all changes that the service held when this was called.
+        """Catch up with all changes made before this call.
 
         Concurrent callers share one read. A read serves only callers that asked before it began,
         so one may be running while the next one collects callers.
