--- a/petrelthread/provisioning/operations.py
+++ b/petrelthread/provisioning/operations.py
@@ -8,8 +8,7 @@
 
 from petrelthread.fleet import Fleet, Health
 from petrelthread.provisioning.context import RecordCleanup
-from petrelthread.state import ClusterState, OperationState, transition
-from petrelthread.state.stored_records import ScaleOutRecord
+from petrelthread.state import ClusterState, OperationState, ScaleOutRecord, transition
 
 RETRY_INTERVAL_S = 1.5  # until an operation with unknown outcome is sent again
 
--- a/petrelthread/provisioning/scale_out.py
+++ b/petrelthread/provisioning/scale_out.py
@@ -20,8 +20,7 @@
     ScaleOutOperation,
 )
 from petrelthread.provisioning.plan import OfferKey, ScaleOutRequest
-from petrelthread.state import OperationState, transition
-from petrelthread.state.stored_records import ScaleOutRecord
+from petrelthread.state import OperationState, ScaleOutRecord, transition
 from petrelthread.store import KEY_PREFIX
 
 log = logging.getLogger(__name__)
