--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -1,4 +1,4 @@
-"""A leader that knows so many machines, made without a network: nothing it sends goes anywhere."""
+"""A leader with many machines, built in this process; nothing that it sends reaches anything."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 CORES = 4.0
 TASK_CORES = 2.0
 IMAGES = 20
-RUNNING_JOBS = 20  # whatever the number of machines: what is measured is to depend on these alone
+RUNNING_JOBS = 20  # whatever the number of machines, so that only these differ
 TASKS_PER_WAITING_JOB = 200
 ZONE = "a"
 TEAM = "red"
@@ -70,10 +70,8 @@
 )
 
 
-async def nowhere(
-    addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-) -> ClientResponse:
-    """A network on which nothing is ever reached."""
+async def unreachable(*_request: Any, **_options: Any) -> ClientResponse:
+    """A network on which nothing is reached."""
     raise NoResponseError("no network", False)
 
 
@@ -82,7 +80,7 @@
 
     def __init__(self, machines: int, seed: int = 1) -> None:
         self.settings: Settings = parse(SETTINGS)
-        self.controller = Controller(self.settings, nowhere, random.Random(seed))
+        self.controller = Controller(self.settings, unreachable, random.Random(seed))
         self._random = random.Random(seed)
         self._jobs = 0
         self._stored: dict[int, list[Any]] = {}
@@ -94,7 +92,7 @@
         self.controller.provisioner.machine_types[self.state.names.machine_types.index("small")] = (
             MACHINE_TYPE
         )
-        self.reports = [self._machine(number, now) for number in range(machines)]
+        self.heartbeats = [self._add_machine(number, now) for number in range(machines)]
 
     def accept(self, tasks: int, image: int) -> Job:
         """A job as the state service would show it."""
@@ -116,7 +114,8 @@
         """The job as the state service holds it."""
         return self._stored[job.index]
 
-    def _machine(self, number: int, now: float) -> protocol.WorkerHeartbeat:
+    def _add_machine(self, number: int, now: float) -> protocol.WorkerHeartbeat:
+        """Register a machine; every other one runs tasks. Returns its heartbeat."""
         fleet = self.controller.fleet
         name = f"host-{number:06d}"
         machine = fleet.get_or_add(name, now)
@@ -125,16 +124,16 @@
         for _ in range(IMAGES // 2):
             image = self.state.names.images.index(f"img-{self._random.randrange(IMAGES):02d}")
             machine.use_image(image, 1.5, MACHINE_TYPE.local_disk_gb)
-        legs = self._run_tasks(number, machine.index) if number % 2 else []
-        report = protocol.WorkerHeartbeat(
-            name, 1, 1, f"10.0.0.1:{number}", "small", ZONE, True, EPOCH, None, legs
+        tasks = self._run_tasks(number, machine.index) if number % 2 else []
+        heartbeat = protocol.WorkerHeartbeat(
+            name, 1, 1, f"10.0.0.1:{number}", "small", ZONE, True, EPOCH, None, tasks
         )
-        fleet.on_heartbeat(report, now, answered=True)
+        fleet.on_heartbeat(heartbeat, now, answered=True)
         machine.transition(Health.UP)
-        return report
+        return heartbeat
 
     def _run_tasks(self, number: int, machine: int) -> list[protocol.TaskReport]:
-        legs = []
+        tasks = []
         for _ in range(int(CORES / TASK_CORES)):
             if not self._jobs or self.state.jobs[-1].pending_count == 0:
                 self.accept(self._tasks_per_job, self._random.randrange(IMAGES))
@@ -142,7 +141,6 @@
             task = next(job.pending_tasks())
             attempt = epoch_base_number(EPOCH - 1) + 1 + number  # of an earlier leader: settled
             self.state.add_attempt(attempt, job, task, machine, 1)
-            legs.append(
-                protocol.TaskReport(f"{job.id}/{task}", attempt, protocol.TaskState.RUNNING)
-            )
-        return legs
+            task_id = protocol.task_id(job.id, task)
+            tasks.append(protocol.TaskReport(task_id, attempt, protocol.TaskState.RUNNING))
+        return tasks
--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -1,4 +1,4 @@
-"""Times of a leader's recurring work, at several numbers of machines: ``run.py bench-rounds``."""
+"""What a leader's recurring work costs, by the number of machines (``run.py bench-rounds``)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from petrelthread.benchmark.populated import EPOCH, TASKS_PER_WAITING_JOB, PopulatedLeader
+from petrelthread.benchmark.populated import EPOCH, IMAGES, TASKS_PER_WAITING_JOB, PopulatedLeader
 from petrelthread.state import (
     ClusterState,
     InternedNames,
@@ -20,9 +20,14 @@
 
 SIZES = (600, 1200, 2400, 4000, 8000)
 ROUNDS = 30
-REPORTS_CHANGED = 5  # machines that change between two rounds
+PLANS = 10
+RELOADS = 5
+MACHINES_PER_WAITING_JOB = 40
+HEARTBEAT_TIMEOUT_S = 14.0
+MACHINES_CHANGED = 5  # machines that change between two rounds
 RECORD_BYTES = 3400
-MS = 1000.0
+MS_PER_S = 1000.0
+PERCENTILE = 0.99
 
 
 @dataclass(frozen=True)
@@ -38,17 +43,17 @@
 def _time(work: str, machines: int, step: Callable[[], object], runs: int) -> Timing:
     spent = []
     for _ in range(runs):
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         step()
-        spent.append((time.perf_counter() - begun) * MS)
+        spent.append((time.perf_counter() - started_at) * MS_PER_S)
     spent.sort()
-    return Timing(work, machines, statistics.median(spent), spent[int(0.99 * (runs - 1))])
+    return Timing(work, machines, statistics.median(spent), spent[int(PERCENTILE * (runs - 1))])
 
 
 def _change_some(leader: PopulatedLeader) -> None:
     """What happens between two rounds: a few machines get a new image or fall idle."""
     machines = list(leader.controller.fleet.machines.values())
-    for machine in machines[:REPORTS_CHANGED]:
+    for machine in machines[:MACHINES_CHANGED]:
         machine.forget_images()
 
 
@@ -76,49 +81,52 @@
 
 
 def measure(machines: int) -> list[Timing]:
-    """All kinds of work with so many machines."""
-
-    async def main() -> list[Timing]:
-        leader = PopulatedLeader(machines)
-        node = leader.controller
-        now = asyncio.get_running_loop().time()
-        reports = iter(leader.reports)
-
-        def unchanged_report() -> None:
-            report = next(reports)
-            report.sequence_number += 1
-            machine = node.fleet.on_heartbeat(report, now, answered=True)
-            assert machine is not None
-            node.command_planner.for_heartbeat(machine, report, now)
-
-        def one_round() -> None:
-            _change_some(leader)
-            node.scheduler.decide(now)
-
-        out = [
-            _time("unchanged report", machines, unchanged_report, min(machines, 500)),
-            _time(
-                "check for silence", machines, lambda: node.failure_detector.check(now, 14.0), 30
-            ),
-            _time(
-                "overdue reports", machines, lambda: node.failure_detector.overdue_machines(now), 30
-            ),
-        ]
-        leader.accept(1, 0)
-        node.scheduler.decide(now)
-        out.append(_time("round, one task waits", machines, one_round, ROUNDS))
-        out.append(_time("rental plan", machines, lambda: node.provisioner.plan_now(now), 10))
-        stored = _stored(leader)
-        for n in range(machines // 40):
-            leader.accept(TASKS_PER_WAITING_JOB, n % 20)
-        out.append(_time("round, much waits", machines, one_round, ROUNDS))
-        out.append(
-            _time("rental plan, much waits", machines, lambda: node.provisioner.plan_now(now), 10)
-        )
-        out.append(_time("reload", machines, lambda: _reload(stored), 5))
-        return out
-
-    return asyncio.run(main())
+    """Time all kinds of work with so many machines."""
+    return asyncio.run(_measure(machines))
+
+
+async def _measure(machines: int) -> list[Timing]:
+    leader = PopulatedLeader(machines)
+    controller = leader.controller
+    now = asyncio.get_running_loop().time()
+    heartbeats = iter(leader.heartbeats)
+
+    def unchanged_heartbeat() -> None:
+        heartbeat = next(heartbeats)
+        heartbeat.sequence_number += 1
+        machine = controller.fleet.on_heartbeat(heartbeat, now, answered=True)
+        assert machine is not None
+        controller.command_planner.for_heartbeat(machine, heartbeat, now)
+
+    def one_round() -> None:
+        _change_some(leader)
+        controller.scheduler.decide(now)
+
+    def failure_check() -> None:
+        controller.failure_detector.check(now, HEARTBEAT_TIMEOUT_S)
+
+    def overdue_heartbeats() -> None:
+        controller.failure_detector.overdue_machines(now)
+
+    def plan() -> None:
+        controller.provisioner.plan_now(now)
+
+    timings = [
+        _time("unchanged heartbeat", machines, unchanged_heartbeat, min(machines, 500)),
+        _time("failure check", machines, failure_check, 30),
+        _time("overdue heartbeats", machines, overdue_heartbeats, 30),
+    ]
+    leader.accept(1, 0)
+    controller.scheduler.decide(now)
+    timings.append(_time("round, one task waits", machines, one_round, ROUNDS))
+    timings.append(_time("provisioning plan", machines, plan, PLANS))
+    stored = _stored(leader)
+    for number in range(machines // MACHINES_PER_WAITING_JOB):
+        leader.accept(TASKS_PER_WAITING_JOB, number % IMAGES)
+    timings.append(_time("round, many tasks wait", machines, one_round, ROUNDS))
+    timings.append(_time("plan, many tasks wait", machines, plan, PLANS))
+    timings.append(_time("reload", machines, lambda: _reload(stored), RELOADS))
+    return timings
 
 
 def bench_rounds(sizes: Sequence[int] = SIZES) -> int:
--- a/petrelthread/scheduling/claim_applier.py
+++ b/petrelthread/scheduling/claim_applier.py
@@ -54,13 +54,13 @@
         if claim.done_number:
             self._cluster_state.apply_finished_tasks(claim.done_number, claim.done_record)
             self._forget_recorded_tasks(claim.done_record)
-        launched = self._apply_starts(claim, now)
+        launched = self._apply_starts(claim)
         stopped = [attempt for attempt in claim.stops if attempt.stop_requested_at]
         for attempt in stopped:
             attempt.stop_requested_at = now
         self._dispatch.send(launched, stopped)
 
-    def _apply_starts(self, claim: RoundClaim, now: float) -> list[Attempt]:
+    def _apply_starts(self, claim: RoundClaim) -> list[Attempt]:
         """The attempts to be sent."""
         unsent = self._no_longer_allowed(claim)
         launched: list[Attempt] = []
