--- a/petrelthread/state/stored_records.py
+++ b/petrelthread/state/stored_records.py
@@ -4,6 +4,8 @@
 ``encode`` makes a stored value of any record. Records that are arrays in the store are positional:
 the order of their fields is the stored order. All versions that may run next to each other read
 the same form, so neither an order nor a stored name may change.
+
+Only this service writes these keys, so the types inside of arrays are not checked.
 """
 
 from __future__ import annotations
@@ -174,23 +176,27 @@
 
 
 def decode_job(value: StoredValue) -> JobRecord:
-    """Read a job. The values are not checked, because only this service writes them."""
+    """Read a job."""
     return JobRecord(*value)
 
 
 def decode_round(value: StoredValue) -> RoundRecord:
     """Read the record of a round."""
-    return msgspec.convert(value, RoundRecord)
+    return [
+        RoundEntry(machine, incarnation, [TasksOfJob(job_id, tasks) for job_id, tasks in jobs])
+        for machine, incarnation, jobs in value
+    ]
 
 
 def decode_finished_tasks(value: StoredValue) -> FinishedTasksRecord:
     """Read a record of finished tasks."""
-    return msgspec.convert(value, FinishedTasksRecord)
+    return [FinishedTasks(job_id, ranges) for job_id, ranges in value]
 
 
 def decode_machine_names(value: StoredValue) -> list[str]:
     """Read the names of machines where a job failed, or that are to be returned."""
-    return msgspec.convert(value, list[str])
+    names: list[str] = value
+    return names
 
 
 def decode_scale_out(value: StoredValue) -> ScaleOutRecord:
