--- a/petrelthread/http/test_client.py
+++ b/petrelthread/http/test_client.py
@@ -11,11 +11,11 @@
 
 def test_no_response_error_says_whether_the_request_was_sent() -> None:
     async def main() -> None:
-        async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(100)
             await asyncio.sleep(5)
 
-        server = await asyncio.start_server(silent, "127.0.0.1", 0)
+        server = await asyncio.start_server(never_respond, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         with pytest.raises(NoResponseError) as lost:
             await Client().request(f"127.0.0.1:{port}", "GET", "/", timeout=0.2)
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger(__name__)
 
-# Delays to the next step; whatever may change the role meanwhile sets ``Election.wake``.
+# Delays to the next step; whatever may change the role meanwhile sets ``Election._wake``.
 FOLLOWER_STEP_INTERVAL_S = 0.2
 STATE_SERVICE_RETRY_S = 0.3
 RENEW_RETRY_S = 0.25
@@ -77,7 +77,7 @@
         self._stored_epoch = 0  # the epoch key as last read
         self._stored_epoch_revision = 0
         self._abstain_until = 0.0
-        self.wake = asyncio.Event()  # ends the delay to the next step
+        self._wake = asyncio.Event()  # ends the delay to the next step
 
     # ---- changes of the role -------------------------------------------------------------------
 
@@ -108,7 +108,7 @@
 
     def _step_down(self, reason: str) -> None:
         self._transition(Role.FOLLOWER, reason)
-        self.wake.set()
+        self._wake.set()
 
     def observe_epoch(self, epoch: int) -> None:
         """Take note of an epoch or fencing token that somebody knows; step down if it is newer.
@@ -128,7 +128,7 @@
         """
         if self.role in (Role.LEADING, Role.FAILING_OVER) and self._now() >= self._lease.expires_at:
             self._transition(Role.LEASE_GRACE, "process pause beyond the lease")
-        self.wake.set()
+        self._wake.set()
 
     async def resign(self, reason: str, abstain_s: float) -> None:
         """Step down, give the lease back and do not campaign for ``abstain_s``."""
@@ -154,7 +154,7 @@
         elif key == LEADER_KEY:
             leader = None if value is None else decode_leader(value)
             self._on_leader_key(leader, revision)
-        self.wake.set()
+        self._wake.set()
 
     def _on_epoch_key(self, epoch: int, revision: int) -> None:
         # Whose epoch it is follows from the leader key, which is written in the same transaction.
@@ -181,10 +181,10 @@
             except (StateUnavailableError, StateResultUnknownError) as error:
                 log.debug("leadership: state service: %s", error)
                 delay_s = STATE_SERVICE_RETRY_S
-            self.wake.clear()
+            self._wake.clear()
             try:
                 async with asyncio.timeout(delay_s):
-                    await self.wake.wait()
+                    await self._wake.wait()
             except TimeoutError:
                 pass
 
