--- /dev/null
+++ b/petrelthread/leadership/test_leadership_state.py
@@ -0,0 +1,96 @@
+"""What each role allows, on which evidence, and until when."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from petrelthread.http import ClientResponse
+from petrelthread.leadership import Role
+from petrelthread.leadership.leader_lease import LEASE_TTL_S, MAX_CLOCK_DRIFT, LeaderLease
+from petrelthread.leadership.leadership_state import LeadershipState
+from petrelthread.store import StateClient, TokenBucket, WatchCache
+from tests.virtual import play
+
+LEASE_GRACE_S = 10.0
+MARGIN_S = 0.001  # less than the allowance for clock drift
+
+
+def now() -> float:
+    return asyncio.get_running_loop().time()
+
+
+def state_in(role: Role, renewed_at: float, current_as_of: float) -> LeadershipState:
+    """A state with evidence of the given times."""
+
+    async def request(*_args: object, **_kwargs: object) -> ClientResponse:
+        raise AssertionError("nothing is asked")
+
+    client = StateClient(request, "state:1", TokenBucket(1.0, 1.0), TokenBucket(1.0, 1.0))
+    watch_cache = WatchCache(client, lambda key, value, revision: None, 0.15)
+    watch_cache.current_as_of = current_as_of
+    state = LeadershipState(watch_cache, LEASE_GRACE_S)
+    state.role = role
+    state._lease = LeaderLease(1, renewed_at)
+    return state
+
+
+@pytest.mark.parametrize(
+    ("role", "is_leader", "may_answer_workers", "may_write"),
+    [
+        (Role.FOLLOWER, False, False, False),
+        (Role.CANDIDATE, False, False, False),
+        (Role.FAILING_OVER, False, True, True),
+        (Role.LEADING, True, True, True),
+        (Role.LEASE_GRACE, False, True, False),
+    ],
+    ids=["follower", "candidate", "failing over", "leading", "lease grace"],
+)
+def test_what_each_role_allows_with_fresh_evidence(
+    role: Role, is_leader: bool, may_answer_workers: bool, may_write: bool
+) -> None:
+    async def scenario() -> None:
+        state = state_in(role, now(), now())
+        assert state.is_leader is is_leader
+        assert state.may_start_tasks is is_leader
+        assert state.may_answer_workers is may_answer_workers
+        assert (state.fence() is not None) is may_write
+
+    play(scenario())
+
+
+def test_a_leader_leads_until_its_lease_expires_less_clock_drift() -> None:
+    async def scenario() -> None:
+        state = state_in(Role.LEADING, now(), now() + LEASE_TTL_S)
+        await asyncio.sleep(LEASE_TTL_S / MAX_CLOCK_DRIFT - MARGIN_S)
+        assert state.is_leader
+        await asyncio.sleep(2 * MARGIN_S)
+        assert not state.is_leader
+        assert not state.may_start_tasks
+        assert state.fence() is not None  # the state service compares the conditions
+
+    play(scenario())
+
+
+def test_a_leader_whose_last_complete_read_is_old_starts_no_tasks() -> None:
+    async def scenario() -> None:
+        state = state_in(Role.LEADING, now(), now() - LEASE_TTL_S)
+        assert state.is_leader
+        assert not state.may_start_tasks
+
+    play(scenario())
+
+
+@pytest.mark.parametrize("older", ["renewal", "read"])
+def test_workers_are_answered_for_the_grace_period_after_the_older_evidence(older: str) -> None:
+    async def scenario() -> None:
+        fresh, old = now() + LEASE_GRACE_S, now()
+        renewed_at, current_as_of = (old, fresh) if older == "renewal" else (fresh, old)
+        state = state_in(Role.LEASE_GRACE, renewed_at, current_as_of)
+        await asyncio.sleep(LEASE_GRACE_S - MARGIN_S)
+        assert state.may_answer_workers
+        await asyncio.sleep(2 * MARGIN_S)
+        assert not state.may_answer_workers
+
+    play(scenario())
