--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -59,11 +59,11 @@
         Args:
             node_name: This controller's host name.
             client: The state service.
-            watch_cache: Tells ``on_key`` about the leader keys.
+            watch_cache: Its listener must pass changes of the leader keys to ``on_key``.
             lease_grace_s: How long an active controller answers workers without news from the
                 state service.
             randomness: Draws delays and nonces.
-            listener: Is told of changes.
+            listener: Notified of changes.
         """
         super().__init__(watch_cache, lease_grace_s)
         self._node_name = node_name
--- a/petrelthread/leadership/test_election.py
+++ b/petrelthread/leadership/test_election.py
@@ -71,7 +71,7 @@
 
 
 def test_a_leader_deposed_by_a_reload_can_be_elected_again() -> None:
-    """A reload tells the epoch key before the leader key.
+    """A reload reports the epoch key before the leader key.
 
     The epoch's revision has to be kept all the same: campaigns compare it.
     """
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -1,4 +1,4 @@
-"""What siblings may say, and what this controller does with it."""
+"""Heartbeats from siblings, well-formed and malformed, and how they are answered."""
 
 from __future__ import annotations
 
