--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -135,7 +135,7 @@
 def _soak(args: argparse.Namespace) -> int:
     from pathlib import Path
 
-    from petrelthread.emulator.loopback_world import LoopbackOptions
+    from petrelthread.emulator.loopback_environment import LoopbackOptions
     from petrelthread.emulator.soak import play_seeds
 
     options = LoopbackOptions(args.seconds, args.controllers, args.machines)
--- a/petrelthread/emulator/__init__.py
+++ b/petrelthread/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for all that a controller deals with, and a judge of the rules."""
+"""Emulated programs around the controllers, a soak with faults, and an invariant checker."""
--- a/petrelthread/emulator/cloud.py
+++ b/petrelthread/emulator/cloud.py
@@ -1,30 +1,42 @@
-"""Stand-in for the cloud: catalogue, rentals by charter, returns, a list that lags."""
+"""Emulated cloud: catalogue, idempotent scale-out, scale-in, and a list that lags behind."""
 
 from __future__ import annotations
 
 import asyncio
+from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
 import orjson
 
+from petrelthread import protocol
+from petrelthread.emulator.environment import MachineDescription, SimulatedEnvironment
 from petrelthread.emulator.worker import Worker
-from petrelthread.emulator.world import World
 
-LIST_LAG_S = 4.0  # a machine younger than this is not listed yet
-RETURN_MOST = 100  # names in one call
-RENT_MOST = 50  # machines asked for in one call
+LIST_LAG_S = 4.0  # younger machines are not listed yet
+UNLIMITED_MACHINES = 10**9
+
+
+@dataclass(frozen=True)
+class RentedMachine:
+    """A machine that the cloud has given out."""
+
+    description: MachineDescription
+    rented_at: float
+    worker: Worker
 
 
 class Cloud:
-    """Rents machines of a fixed stock, each with a worker of its own."""
-
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.machines: dict[str, dict[str, Any]] = {}
-        self.charters: dict[str, list[str]] = {}
-        self.asked: dict[str, set[str]] = {}  # by charter: what was asked for under that name
-        self.capacity = {True: world.made_of.spot, False: world.made_of.ordinary}
+    """Rents out machines of a fixed stock, each with a worker of its own."""
+
+    def __init__(self, environment: SimulatedEnvironment) -> None:
+        self._environment = environment
+        deployment = environment.made_of
+        self.machines: dict[str, RentedMachine] = {}
+        self.granted: dict[str, list[str]] = {}  # machine names by idempotency key
+        self.requests: dict[str, set[str]] = {}  # distinct request bodies by idempotency key
+        self.capacity = {True: deployment.spot, False: deployment.ordinary}  # by spot or not
         self.used = {True: 0, False: 0}
         self.rented = 0
         self.down = False
@@ -32,60 +44,86 @@
     async def handle(self, source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         """Serve one request of any controller."""
         if self.down:
-            return 503, {"error": "trouble"}
-        path = urlsplit(target).path
-        now = asyncio.get_running_loop().time()
-        if path == "/catalog":
-            return 200, {"hulls": list(self.world.made_of.hulls)}
-        if path == "/hosts/return" and len(body["perches"]) > RETURN_MOST:
-            return 400, {"error": f"more than {RETURN_MOST} names"}
-        if path == "/hosts/return":
-            for name in body["perches"]:
-                self.remove(name)
-            return 200, {}
+            return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "trouble"}
+        url = urlsplit(target)
+        if url.path == protocol.CATALOG_PATH:
+            return HTTPStatus.OK, {"hulls": list(self._environment.made_of.hulls)}
+        if url.path == protocol.SCALE_IN_PATH:
+            return self._scale_in(body["perches"])
         if method == "GET":
-            after = parse_qs(urlsplit(target).query).get("from", [""])[0]
-            shown = [
-                {k: v for k, v in m.items() if k not in ("worker", "at")}
-                | {"held_s": now - m["at"], "status": "running" if m["worker"].up else "starting"}
-                for m in self.machines.values()
-                if now - m["at"] > LIST_LAG_S and m["name_id"] > after
-            ]
-            most = self.world.made_of.pages
-            return 200, {"perches": shown[:most], "more": len(shown) > most}
-        if path != "/hosts":
-            return 404, {"error": "no such path"}  # meant for a machine that had this port before
-        if not 0 < body["count"] <= RENT_MOST:
-            return 400, {"error": f"count must be 1 to {RENT_MOST}"}
-        charter = body["charter"]
-        self.asked.setdefault(charter, set()).add(orjson.dumps(body).decode())
-        if charter not in self.charters:
-            kind = body["driftwood"]
-            free = self.capacity[kind] - self.used[kind]
-            count = min(body["count"], free, self._free_in(body["roost"]))
-            if count <= 0:
-                return 503, {"error": "no capacity"}
-            self.charters[charter] = [self._rent(body, now) for _ in range(count)]
-        return 200, {"perches": self.charters[charter]}
-
-    def _free_in(self, zone: str) -> int:
-        most = self.world.made_of.zone_capacity
-        there = sum(machine["roost"] == zone for machine in self.machines.values())
-        return 10**9 if most is None else most - there
+            return self._list(parse_qs(url.query).get("from", [""])[0])
+        if url.path == protocol.MACHINES_PATH:
+            return self._scale_out(body)
+        # Meant for a machine that had this port before.
+        return HTTPStatus.NOT_FOUND, {"error": "no such path"}
 
     def remove(self, name: str) -> None:
-        """The machine is gone, and everything on it; unknown names are ignored."""
+        """The machine is gone with everything on it. Unknown names are ignored."""
         machine = self.machines.pop(name, None)
         if machine is not None:
-            self.used[machine["driftwood"]] -= 1
-            machine["worker"].kill()
+            self.used[machine.description.spot] -= 1
+            machine.worker.kill()
+
+    def _scale_in(self, names: list[str]) -> tuple[int, Any]:
+        limit = protocol.MAX_MACHINES_PER_SCALE_IN
+        if len(names) > limit:
+            return HTTPStatus.BAD_REQUEST, {"error": f"more than {limit} names"}
+        for name in names:
+            self.remove(name)
+        return HTTPStatus.OK, {}
 
-    def _rent(self, body: Any, now: float) -> str:
+    def _list(self, after: str) -> tuple[int, Any]:
+        now = asyncio.get_running_loop().time()
+        listed = [
+            self._list_entry(machine, now)
+            for name, machine in self.machines.items()
+            if now - machine.rented_at > LIST_LAG_S and name > after
+        ]
+        limit = self._environment.made_of.pages
+        return HTTPStatus.OK, {"perches": listed[:limit], "more": len(listed) > limit}
+
+    @staticmethod
+    def _list_entry(machine: RentedMachine, now: float) -> dict[str, Any]:
+        description = machine.description
+        return {
+            "hull": description.machine_type,
+            "roost": description.zone,
+            "driftwood": description.spot,
+            "name_id": description.name,
+            "addr": description.address,
+            "held_s": now - machine.rented_at,
+            "status": "running" if machine.worker.up else "starting",
+        }
+
+    def _scale_out(self, body: dict[str, Any]) -> tuple[int, Any]:
+        limit = protocol.MAX_MACHINES_PER_SCALE_OUT
+        if not 0 < body["count"] <= limit:
+            return HTTPStatus.BAD_REQUEST, {"error": f"count must be 1 to {limit}"}
+        key, spot = body["charter"], body["driftwood"]
+        self.requests.setdefault(key, set()).add(orjson.dumps(body).decode())
+        if key not in self.granted:
+            free = self.capacity[spot] - self.used[spot]
+            count = min(body["count"], free, self._free_in_zone(body["roost"]))
+            if count <= 0:
+                return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no capacity"}
+            self.granted[key] = [
+                self._rent(body["hull"], body["roost"], spot) for _ in range(count)
+            ]
+        return HTTPStatus.OK, {"perches": self.granted[key]}
+
+    def _free_in_zone(self, zone: str) -> int:
+        capacity = self._environment.made_of.zone_capacity
+        if capacity is None:
+            return UNLIMITED_MACHINES
+        return capacity - sum(m.description.zone == zone for m in self.machines.values())
+
+    def _rent(self, machine_type: str, zone: str, spot: bool) -> str:
         self.rented += 1
-        self.used[body["driftwood"]] += 1
+        self.used[spot] += 1
         name = f"host-{self.rented:06d}"
-        machine = {key: body[key] for key in ("hull", "roost", "driftwood")}
-        machine |= {"name_id": name, "addr": self.world.net.new_address(name), "at": now}
-        machine["worker"] = Worker(self.world, machine)
-        self.machines[name] = machine
+        address = self._environment.net.new_address(name)
+        description = MachineDescription(name, address, machine_type, zone, spot)
+        worker = Worker(self._environment, description)
+        now = asyncio.get_running_loop().time()
+        self.machines[name] = RentedMachine(description, now, worker)
         return name
--- a/petrelthread/emulator/demo.py
+++ b/petrelthread/emulator/demo.py
@@ -1,4 +1,4 @@
-"""The newcomer's demo: a whole service on the loopback interface, and the end of its leader."""
+"""Demo: a whole service on the loopback interface that survives the loss of its leader."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from petrelthread.emulator.invariant_checker import FINAL_STATUSES
 from petrelthread.emulator.loopback import ignore_cancelled
-from petrelthread.emulator.loopback_world import LoopbackOptions, LoopbackWorld
-from petrelthread.emulator.users import FINAL, Users
+from petrelthread.emulator.loopback_environment import LoopbackEnvironment, LoopbackOptions
+from petrelthread.emulator.users import Users
 from petrelthread.emulator.workload import PlannedJob, job_spec
 
 SEED = 1
 MACHINES = 9
-SHOW_EVERY_S = 2.0
-CHECK_EVERY_S = 0.2
+PROGRESS_INTERVAL_S = 2.0
+CHECK_INTERVAL_S = 0.2
 RESTART_AFTER_S = 3.0
-LIMIT_S = 55.0
+TIME_LIMIT_S = 55.0
 SERVICE = "wk-000004"
 JOBS = (
     PlannedJob(job_spec("wk-000001", 14, estimated_run_s=4.0), 0.0, None, 4.0),
@@ -49,28 +50,34 @@
 }
 
 
-class NotFinished(Exception):
-    """The demo did not come to its end in time; the text says what was missing."""
+class DemoTimeoutError(Exception):
+    """The demo did not end in time. The text says what was missing."""
 
 
 class Demo:
-    """One run."""
+    """One run of the demo."""
 
-    def __init__(self, world: LoopbackWorld) -> None:
-        self._world = world
+    def __init__(self, environment: LoopbackEnvironment) -> None:
+        self._environment = environment
         self._started_at = asyncio.get_running_loop().time()
 
     async def play(self) -> None:
-        """From the first process to the last job. Raises NotFinished."""
-        world = self._world
+        """Play from the first process to the last job.
+
+        Raises:
+            DemoTimeoutError: It took too long.
+        """
+        environment = self._environment
         for job in JOBS:
-            world.add_job(job)
-        await world.start()
-        self._say(f"started {len(world.controllers)} controllers, state service and cloud")
+            environment.add_job(job)
+        await environment.start()
+        self._say(f"started {len(environment.controllers)} controllers, state service and cloud")
         for job_id, kind in KINDS.items():
             self._say(f"submitting {job_id}: {kind}")
-        addresses = [world.public_address(node) for node in world.made_of.nodes]
-        users = Users(world.judge, world.net.requester("users"), addresses, world.random)
+        addresses = [environment.public_address(node) for node in environment.made_of.nodes]
+        users = Users(
+            environment.checker, environment.net.requester("users"), addresses, environment.random
+        )
         followers = [asyncio.create_task(users.follow(job, self._started_at)) for job in JOBS]
         progress = asyncio.create_task(self._show_progress())
         try:
@@ -79,30 +86,30 @@
             await self._until(self._arrays_over, "the arrays")
             await self._until(self._service_up, "all replicas of the service")
             self._say(f"cancelling {SERVICE}")
-            users.calm.set()
-            await self._until(lambda: SERVICE in self._over(), "the cancellation")
+            users.faults_over.set()
+            await self._until(lambda: SERVICE in self._finished_jobs(), "the cancellation")
         finally:
             for task in [progress, *followers]:
                 task.cancel()
 
     def summary(self) -> str:
-        """What was done, and whether a rule broke."""
-        judge = self._world.judge
-        done = sum(judge.answers.get(job.job_id) == "done" for job in JOBS)
+        """What was done, and which rules were broken."""
+        checker = self._environment.checker
+        done = sum(checker.statuses.get(job.job_id) == "done" for job in JOBS)
         lines = [
-            f"{done} arrays done ({len(judge.completed)} tasks), 1 service cancelled,"
-            f" {judge.starts} starts, {self._world.cloud.rented} machines rented;"
-            f" {'no rule broke' if not judge.broken else 'RULES BROKEN:'}"
+            f"{done} arrays done ({len(checker.completed_tasks)} tasks), 1 service cancelled,"
+            f" {checker.start_count} starts, {self._environment.cloud.rented} machines rented;"
+            f" {'no rule broke' if not checker.violations else 'RULES BROKEN:'}"
         ]
-        return "\n".join(lines + [f"  {text}" for text in judge.broken])
+        return "\n".join(lines + [f"  {text}" for text in checker.violations])
 
     async def _end_leader(self) -> None:
-        leader = self._world.leader
-        controller = next(c for c in self._world.controllers if c.name == leader)
+        leader = self._environment.leader
+        controller = next(c for c in self._environment.controllers if c.name == leader)
         self._say(f"killing the leader, {leader}")
         controller.kill()
-        await self._until(lambda: self._world.leader not in (None, leader), "the next leader")
-        self._say(f"{self._world.leader} leads now")
+        await self._until(lambda: self._environment.leader not in (None, leader), "the next leader")
+        self._say(f"{self._environment.leader} leads now")
         await asyncio.sleep(RESTART_AFTER_S)
         controller.start()
 
@@ -110,38 +117,45 @@
 
     async def _until(self, met: Callable[[], bool], what: str) -> None:
         while not met():
-            if asyncio.get_running_loop().time() - self._started_at > LIMIT_S:
-                raise NotFinished(f"no end after {LIMIT_S:.0f} s: still waiting for {what}")
-            await asyncio.sleep(CHECK_EVERY_S)
+            if asyncio.get_running_loop().time() - self._started_at > TIME_LIMIT_S:
+                raise DemoTimeoutError(
+                    f"no end after {TIME_LIMIT_S:.0f} s: still waiting for {what}"
+                )
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _tasks(self) -> int:
+    def _task_count(self) -> int:
         return sum(job.spec["legs"] for job in JOBS if not job.service)
 
     def _half_done(self) -> bool:
-        return 2 * len(self._world.judge.completed) >= self._tasks()
+        return 2 * len(self._environment.checker.completed_tasks) >= self._task_count()
 
-    def _over(self) -> set[str]:
-        return {job_id for job_id, state in self._world.judge.answers.items() if state in FINAL}
+    def _finished_jobs(self) -> set[str]:
+        return {
+            job_id
+            for job_id, state in self._environment.checker.statuses.items()
+            if state in FINAL_STATUSES
+        }
 
     def _arrays_over(self) -> bool:
-        return all(job.job_id in self._over() for job in JOBS if not job.service)
+        return all(job.job_id in self._finished_jobs() for job in JOBS if not job.service)
 
     def _service_up(self) -> bool:
-        on = self._world.judge.on
-        return all(on.get(f"{SERVICE}/{replica}") for replica in range(3))
+        running = self._environment.checker.machines_by_task
+        return all(running.get(f"{SERVICE}/{replica}") for replica in range(3))
 
     # ---- what is shown -----------------------------------------------------------------------
 
     async def _show_progress(self) -> None:
         while True:
-            await asyncio.sleep(SHOW_EVERY_S)
-            judge = self._world.judge
-            up = sum(m["worker"].up for m in self._world.cloud.machines.values())
-            on = sum(bool(machines) for machines in judge.on.values())
-            states = ", ".join(f"{j.job_id} {judge.answers.get(j.job_id, '-')}" for j in JOBS)
+            await asyncio.sleep(PROGRESS_INTERVAL_S)
+            checker = self._environment.checker
+            up = sum(machine.worker.up for machine in self._environment.cloud.machines.values())
+            on = sum(bool(machines) for machines in checker.machines_by_task.values())
+            states = ", ".join(f"{j.job_id} {checker.statuses.get(j.job_id, '-')}" for j in JOBS)
+            leader = self._environment.leader or "none"
             self._say(
-                f"leader {self._world.leader or 'none'}; {up} machines up; {on} tasks on them,"
-                f" {len(judge.completed)} of {self._tasks()} done; {states}"
+                f"leader {leader}; {up} machines up; {on} tasks on them,"
+                f" {len(checker.completed_tasks)} of {self._task_count()} done; {states}"
             )
 
     def _say(self, text: str) -> None:
@@ -151,22 +165,26 @@
 
 async def _demo(directory: Path) -> int:
     asyncio.get_running_loop().set_exception_handler(ignore_cancelled)
-    world = LoopbackWorld(SEED, LoopbackOptions(machines=MACHINES), directory)
-    demo = Demo(world)
+    environment = LoopbackEnvironment(SEED, LoopbackOptions(machines=MACHINES), directory)
+    demo = Demo(environment)
     try:
         await demo.play()
-        print(demo.summary())
-        return 1 if world.judge.broken else 0
-    except NotFinished as error:
+    except DemoTimeoutError as error:
         print(error)
         print(demo.summary())
         return 1
+    else:
+        print(demo.summary())
+        return 1 if environment.checker.violations else 0
     finally:
-        world.close()
+        environment.close()
 
 
 def play_demo() -> int:
-    """Run it; 0 if all was done and no rule broke, 1 if not, 130 if interrupted."""
+    """Play the demo.
+
+    Returns the exit code: 0 if all was done without violations, 1 if not, 130 if interrupted.
+    """
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     directory = Path(tempfile.mkdtemp(prefix="petrelthread-demo-"))
     try:
--- a/petrelthread/emulator/faults.py
+++ b/petrelthread/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: which there are, when they begin, and what they do to links and processes."""
+"""Faults of a soak: their kinds, the schedule that a seed draws, and their effect on links."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from typing import NamedTuple
 
 STATE, CLOUD = "state", "cloud"  # names of the two services on links
-# How late a late message is carried out: half of them within 3 s, one in six past the time that a
-# cancellation has, one in twenty past two minutes.
-LATE_LEAST_S, LATE_MOST_S = 0.8, 300.0
-LATE_TAIL = 0.6  # exponent of the Pareto distribution
-HELD_LEAST_S = 18.0  # a held command is on its way for longer than a cancellation has
+# Delay of late messages: half of them come within 3 s, one in six after the time limit of a
+# cancellation, one in twenty after more than two minutes.
+MIN_DELAY_S, MAX_DELAY_S = 0.8, 300.0
+DELAY_TAIL = 0.6  # exponent of the Pareto distribution
+MIN_HELD_S = 18.0  # held commands are delayed beyond the time limit of a cancellation
+DELAYED_SHARE = 0.5  # of the late writes that are carried out late; the others only lose the answer
 
 
 class FaultKind(Enum):
-    """One kind of trouble."""
+    """Kinds of faults. Values are shown in a soak's results."""
 
     KILL_CONTROLLER = "kill"
     KILL_ALL = "kill-all"
@@ -40,7 +41,7 @@
     ZONE_CUT = "zone-cut"
 
 
-# Seconds that each lasts, shortest and longest; of a kill, until the process is started again.
+# Shortest and longest duration in seconds; of a kill, until the process is started again.
 DURATION_S: dict[FaultKind, tuple[float, float]] = {
     FaultKind.KILL_CONTROLLER: (0.1, 3.0),
     FaultKind.KILL_ALL: (0.1, 4.0),
@@ -65,27 +66,27 @@
 
 
 class Fault(NamedTuple):
-    """One trouble: when it begins, in seconds since the start, and how long it lasts."""
+    """One fault. Times are in seconds since the start."""
 
     kind: FaultKind
     begins_s: float
     lasts_s: float
-    draw: float  # 0 to 1: what it strikes, of all that it may
+    draw: float  # 0 to 1: selects the target
 
 
-# Messages that come late do harm when the leader changes before they do.
+# Late messages are most dangerous if the leader changes before they arrive.
 LATE_KINDS = (FaultKind.LATE_WRITES, FaultKind.LATE_COMMANDS, FaultKind.LATE_REPORTS)
-LEADER_ENDS = (
+LEADER_LOSSES = (
     FaultKind.KILL_CONTROLLER,
     FaultKind.PAUSE_CONTROLLER,
     FaultKind.CUT_FROM_STATE_AND_PEERS,
 )
-MEETING_SHARE = 0.6  # of late messages that meet the end of the leader
-STRIKES_LEADER = 0.0  # the draw that strikes the leader, if there is one
-# A new leader makes void what an older one sent: a leader that lives on has to do so by itself. In
-# this share of the seeds nothing strikes controllers and the state service.
-LEADER_LIVES_SHARE = 0.5
-LEADER_LIVES_KINDS = (
+LEADER_LOSS_SHARE = 0.6  # of late messages during which the leader is lost
+LEADER_DRAW = 0.0  # selects the leader, if there is one
+# A new leader invalidates what its predecessor sent; a leader that stays must do so by itself. In
+# this share of the seeds no fault affects controllers or the state service.
+LEADER_STAYS_SHARE = 0.5
+LEADER_STAYS_KINDS = (
     FaultKind.LATE_COMMANDS,
     FaultKind.LATE_REPORTS,
     FaultKind.CLOUD_OUTAGE,
@@ -98,19 +99,19 @@
 
 
 def draw_faults(randomness: random.Random, seconds: float, every_s: float) -> list[Fault]:
-    """Faults for so many seconds, one each ``every_s`` in the mean; all end in time."""
+    """Draw faults for some seconds, one each ``every_s`` in the mean. All end in time."""
     faults = []
     at = randomness.uniform(1.0, 2 * every_s)
-    leader_lives = randomness.random() < LEADER_LIVES_SHARE
-    kinds = LEADER_LIVES_KINDS if leader_lives else tuple(FaultKind)
+    leader_stays = randomness.random() < LEADER_STAYS_SHARE
+    kinds = LEADER_STAYS_KINDS if leader_stays else tuple(FaultKind)
     while at < seconds:
         fault = _draw_fault(randomness, randomness.choice(kinds), at, seconds)
         faults.append(fault)
-        meets = not leader_lives and randomness.random() < MEETING_SHARE
-        if fault.kind in LATE_KINDS and meets:
-            meets_at = at + randomness.uniform(0.2, 1.0) * fault.lasts_s
-            meeting = _draw_fault(randomness, randomness.choice(LEADER_ENDS), meets_at, seconds)
-            faults.append(meeting._replace(draw=STRIKES_LEADER))
+        leader_lost = not leader_stays and randomness.random() < LEADER_LOSS_SHARE
+        if fault.kind in LATE_KINDS and leader_lost:
+            lost_at = at + randomness.uniform(0.2, 1.0) * fault.lasts_s
+            loss = _draw_fault(randomness, randomness.choice(LEADER_LOSSES), lost_at, seconds)
+            faults.append(loss._replace(draw=LEADER_DRAW))
         at += randomness.expovariate(1.0 / every_s)
     return faults
 
@@ -123,7 +124,7 @@
 
 
 class Fate(NamedTuple):
-    """What becomes of one request."""
+    """What happens to one request."""
 
     lost: bool = False
     delay_s: float = 0.0
@@ -134,55 +135,54 @@
 
 
 def draw_late_s(randomness: random.Random) -> float:
-    """How late a message is, in seconds: long-tailed, up to several minutes."""
-    return min(LATE_MOST_S, LATE_LEAST_S * randomness.paretovariate(LATE_TAIL))
+    """Delay of a late message in seconds: long-tailed, up to several minutes."""
+    return min(MAX_DELAY_S, MIN_DELAY_S * randomness.paretovariate(DELAY_TAIL))
 
 
 @dataclass
 class LinkFaults:
-    """What is wrong with the links now. Ends of links are named after controllers and machines."""
+    """Present faults of links, given by the names of controllers, machines and services."""
 
     randomness: random.Random
     cut: set[frozenset[str]] = field(default_factory=set)
-    not_receiving: set[str] = field(
-        default_factory=set
-    )  # their requests arrive, nothing comes back
-    not_sending: set[str] = field(default_factory=set)  # they reach nobody, commands reach them
-    # Machines that report and are answered, while direct commands to them are held until then.
+    # Machines with one-way partitions.
+    not_receiving: set[str] = field(default_factory=set)
+    not_sending: set[str] = field(default_factory=set)
+    # Machines with working heartbeats to which direct commands are held until the given instant.
     commands_held_until: dict[str, float] = field(default_factory=dict)
-    late_writes: float = 0.0  # share
+    late_writes: float = 0.0  # share of the messages, as below
     late_commands: float = 0.0
     late_reports: float = 0.0
 
     def fate(self, source: str, destination: str, target: str) -> Fate:
-        """What becomes of a request on its way to a service or a machine."""
+        """What happens to a request to a service or a machine."""
         lost = destination in self.not_receiving or source in self.not_sending
         if lost or frozenset((source, destination)) in self.cut:
             return Fate(lost=True)
         chance = self.randomness.random()
         if destination == STATE and target == "/multi" and chance < self.late_writes:
-            late = self.randomness.random() < 0.5
+            late = self.randomness.random() < DELAYED_SHARE
             delay_s = draw_late_s(self.randomness) if late else 0.0
             return Fate(delay_s=delay_s, answer_lost=True)
         if target == "/do" and destination in self.commands_held_until:
             now = asyncio.get_running_loop().time()
-            delay_s = max(HELD_LEAST_S, self.commands_held_until[destination] - now)
+            delay_s = max(MIN_HELD_S, self.commands_held_until[destination] - now)
             return Fate(delay_s=delay_s, answer_lost=True)
         if target == "/do" and chance < self.late_commands:
             return Fate(delay_s=draw_late_s(self.randomness), answer_lost=True)
         if source in self.not_receiving or destination in self.not_sending:
-            # A machine that can't send still answers on connections that others have opened.
+            # A machine that cannot send still answers on connections that others have opened.
             return Fate(answer_lost=source in self.not_receiving)
         return DELIVERED
 
     def copy_delay_s(self, target: str) -> float | None:
-        """Whether a copy of the request arrives again, and how much later."""
+        """After how many seconds a copy of the request arrives again, or None."""
         if target == "/checkin" and self.randomness.random() < self.late_reports:
             return draw_late_s(self.randomness)
         return None
 
     def heal(self) -> None:
-        """All links are well again."""
+        """End all faults of links."""
         self.cut.clear()
         self.not_receiving.clear()
         self.not_sending.clear()
--- a/petrelthread/emulator/injector.py
+++ b/petrelthread/emulator/injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a soak on processes, services, machines and links."""
+"""Applies the faults of a soak to processes, services, machines and links."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from petrelthread.emulator.faults import STATE, Fault, FaultKind
 
 if TYPE_CHECKING:
-    from petrelthread.emulator.loopback_world import LoopbackWorld
+    from petrelthread.emulator.loopback_environment import LoopbackEnvironment
     from petrelthread.emulator.processes import ControllerProcess
     from petrelthread.emulator.worker import Worker
 
-LEADER_SHARE = 0.6  # of faults of a controller that strike the leader
-SHARE = 0.4  # of messages that a fault of links strikes
-DYING_MOST = 3  # machines that die at once
-HELD_MOST = 6  # machines to which commands are held at once
+LEADER_SHARE = 0.6  # of the faults of a controller that hit the leader
+MESSAGE_SHARE = 0.4  # of the messages that a fault of links affects
+MAX_DYING = 3  # machines that die at once
+MAX_HELD = 6  # machines to which commands are held at once
 
-Strike = Callable[[Fault], Awaitable[None]]
+FaultAction = Callable[[Fault], Awaitable[None]]
 
 
 class FaultInjector:
-    """Plays faults against one world. Each leaves things as they were before it."""
+    """Applies faults to one environment. Each fault is undone when it ends."""
 
-    def __init__(self, world: LoopbackWorld) -> None:
-        self._world = world
+    def __init__(self, environment: LoopbackEnvironment) -> None:
+        self._environment = environment
         self.played: Counter[str] = Counter()
-        self._down: set[str] = set()  # controllers that are to stay ended for now
-        kinds: dict[FaultKind, Strike] = {
+        self._down: set[str] = set()  # controllers that must not be restarted now
+        self._actions: dict[FaultKind, FaultAction] = {
             FaultKind.KILL_CONTROLLER: self._kill_one,
             FaultKind.KILL_ALL: self._kill_all,
             FaultKind.PAUSE_CONTROLLER: self._pause,
@@ -50,34 +50,33 @@
             FaultKind.COMMANDS_HELD: self._hold_commands,
             FaultKind.ZONE_CUT: self._zone_cut,
         }
-        self._strikes = kinds
 
     async def play(self, fault: Fault, started_at: float) -> None:
-        """Wait for its time, strike, and end it."""
+        """Wait until the fault begins, apply it, and undo it when it ends."""
         now = asyncio.get_running_loop().time()
         await asyncio.sleep(max(0.0, started_at + fault.begins_s - now))
         self.played[fault.kind.value] += 1
-        await self._strikes[fault.kind](fault)
+        await self._actions[fault.kind](fault)
 
     def watch(self) -> None:
-        """Start again what has ended by itself."""
-        for controller in self._world.controllers:
+        """Restart controllers that exited by themselves."""
+        for controller in self._environment.controllers:
             if controller.name not in self._down:
                 controller.watch()
 
     def _controller(self, fault: Fault) -> ControllerProcess:
-        """The leader as often as any other: most of what can go wrong is in its hands."""
-        controllers = self._world.controllers
+        """The controller that the fault hits, which is mostly the leader."""
+        controllers = self._environment.controllers
         if fault.draw < LEADER_SHARE:
-            leader = self._world.leader
+            leader = self._environment.leader
             for controller in controllers:
                 if controller.name == leader:
                     return controller
         return controllers[int(fault.draw * len(controllers))]
 
     def _workers(self) -> list[Worker]:
-        machines = self._world.cloud.machines.values()
-        return [machine["worker"] for machine in machines if machine["worker"].up]
+        machines = self._environment.cloud.machines.values()
+        return [machine.worker for machine in machines if machine.worker.up]
 
     def _worker(self, fault: Fault) -> Worker | None:
         workers = self._workers()
@@ -99,7 +98,7 @@
         await self._kill([self._controller(fault)], fault.lasts_s)
 
     async def _kill_all(self, fault: Fault) -> None:
-        await self._kill(self._world.controllers, fault.lasts_s)
+        await self._kill(self._environment.controllers, fault.lasts_s)
 
     async def _pause(self, fault: Fault) -> None:
         controller = self._controller(fault)
@@ -111,31 +110,31 @@
 
     async def _refuse(self, fault: Fault) -> None:
         name = self._controller(fault).name
-        self._world.store.refused.add(name)
+        self._environment.store.refused.add(name)
         await asyncio.sleep(fault.lasts_s)
-        self._world.store.refused.discard(name)
+        self._environment.store.refused.discard(name)
 
     async def _state_outage(self, fault: Fault) -> None:
-        self._world.store.outage(True)
+        self._environment.store.set_outage(True)
         await asyncio.sleep(fault.lasts_s)
-        self._world.store.outage(False)
+        self._environment.store.set_outage(False)
 
     async def _cloud_outage(self, fault: Fault) -> None:
-        self._world.cloud.down = True
+        self._environment.cloud.down = True
         await asyncio.sleep(fault.lasts_s)
-        self._world.cloud.down = False
+        self._environment.cloud.down = False
 
     # ---- links -------------------------------------------------------------------------------
 
     async def _cut(self, links: set[frozenset[str]], lasts_s: float) -> None:
-        cut = self._world.faults.cut
+        cut = self._environment.faults.cut
         new = links - cut
         cut |= new
         await asyncio.sleep(lasts_s)
         cut -= new
 
     def _links_to_peers(self, name: str) -> set[frozenset[str]]:
-        names = [controller.name for controller in self._world.controllers]
+        names = [controller.name for controller in self._environment.controllers]
         return {frozenset((name, other)) for other in names if other != name}
 
     async def _cut_from_state(self, fault: Fault) -> None:
@@ -148,24 +147,24 @@
         name = self._controller(fault).name
         await self._cut(self._links_to_peers(name) | {frozenset((name, STATE))}, fault.lasts_s)
 
-    def _late(self, attribute: str) -> Strike:
-        async def strike(fault: Fault) -> None:
-            setattr(self._world.faults, attribute, SHARE)
+    def _late(self, attribute: str) -> FaultAction:
+        async def apply(fault: Fault) -> None:
+            setattr(self._environment.faults, attribute, MESSAGE_SHARE)
             await asyncio.sleep(fault.lasts_s)
-            setattr(self._world.faults, attribute, 0.0)
+            setattr(self._environment.faults, attribute, 0.0)
 
-        return strike
+        return apply
 
     # ---- machines ----------------------------------------------------------------------------
 
     async def _machines_die(self, fault: Fault) -> None:
-        for _ in range(1 + int(fault.draw * DYING_MOST)):
+        for _ in range(1 + int(fault.draw * MAX_DYING)):
             worker = self._worker(fault)
             if worker is not None:
-                self._world.cloud.remove(worker.name)
+                self._environment.cloud.remove(worker.name)
 
-    def _flag(self, attribute: str) -> Strike:
-        async def strike(fault: Fault) -> None:
+    def _flag(self, attribute: str) -> FaultAction:
+        async def apply(fault: Fault) -> None:
             worker: Any = self._worker(fault)
             if worker is None:
                 return
@@ -173,42 +172,42 @@
             await asyncio.sleep(fault.lasts_s)
             setattr(worker, attribute, False)
 
-        return strike
+        return apply
 
-    def _machine_links(self, attribute: str) -> Strike:
-        async def strike(fault: Fault) -> None:
+    def _machine_links(self, attribute: str) -> FaultAction:
+        async def apply(fault: Fault) -> None:
             worker = self._worker(fault)
             if worker is None:
                 return
             await self._on_links(attribute, {worker.name}, fault.lasts_s)
 
-        return strike
+        return apply
 
     async def _hold_commands(self, fault: Fault) -> None:
-        """The way to some machines is broken, the way from them is not."""
-        loop, held_until = asyncio.get_running_loop(), self._world.faults.commands_held_until
+        """Delay direct commands to some machines whose heartbeats are not affected."""
+        loop, held_until = asyncio.get_running_loop(), self._environment.faults.commands_held_until
         workers = self._workers()
         first = int(fault.draw * len(workers))
-        names = [worker.name for worker in workers[first : first + HELD_MOST]]
+        names = [worker.name for worker in workers[first : first + MAX_HELD]]
         held_until.update(dict.fromkeys(names, loop.time() + fault.lasts_s))
         await asyncio.sleep(fault.lasts_s)
         for name in names:
             held_until.pop(name, None)
 
     async def _zone_cut(self, fault: Fault) -> None:
-        zones = sorted({worker.machine["roost"] for worker in self._workers()})
+        zones = sorted({worker.machine.zone for worker in self._workers()})
         if not zones:
             return
         zone = zones[int(fault.draw * len(zones))]
-        names = {w.name for w in self._workers() if w.machine["roost"] == zone}
+        names = {w.name for w in self._workers() if w.machine.zone == zone}
         await asyncio.gather(
             self._on_links("not_receiving", names, fault.lasts_s),
             self._on_links("not_sending", names, fault.lasts_s),
         )
 
     async def _on_links(self, attribute: str, names: set[str], lasts_s: float) -> None:
-        struck: set[str] = getattr(self._world.faults, attribute)
-        new = names - struck
-        struck |= new
+        affected: set[str] = getattr(self._environment.faults, attribute)
+        new = names - affected
+        affected |= new
         await asyncio.sleep(lasts_s)
-        struck -= new
+        affected -= new
--- /dev/null
+++ b/petrelthread/emulator/invariant_checker.py
@@ -0,0 +1,297 @@
+"""Checks PROTOCOL's rules from outside: by what workers do and what users are told.
+
+The state service is looked at for one purpose: starts must be recorded before they happen, and none
+may be recorded for a job that is over.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Collection
+from http import HTTPStatus
+from typing import Any, NamedTuple
+
+import msgspec
+
+from petrelthread import protocol
+from petrelthread.emulator.environment import MachineDescription, SimulatedEnvironment
+from petrelthread.emulator.state_service import JsonValue, Keys
+
+MAX_OBSERVATIONS = 40  # kept for each job
+ROUND_KEYS = "pt/r/"
+FINAL_KEYS = "pt/f/"
+FINAL_STATUSES = ("done", "aborted")
+MAX_ANSWER_GAP_S = 75.0  # without an answer about an accepted job once all faults are over
+MAX_WAIT_S = 90.0  # of a job that fits a machine and its team's quota once all faults are over
+
+
+class _WaitingJob(NamedTuple):
+    """A job with waiting tasks, since the last change that could explain the wait."""
+
+    since: float
+    started_tasks: int
+    fitting_machines: set[str]  # that had room all the time
+
+
+def job_id_of(task: str) -> str:
+    """The job that a task belongs to."""
+    return task.rpartition("/")[0]
+
+
+class InvariantChecker:
+    """Records events as they happen, and collects violations of the rules."""
+
+    def __init__(self, environment: SimulatedEnvironment) -> None:
+        self._environment = environment
+        self.machines_by_task: dict[str, set[str]] = {}
+        self.used_cores: dict[str, float] = {}  # of running tasks, by team
+        self.completed_tasks: set[str] = set()
+        self.started_at: dict[str, float] = {}  # first start by task
+        self.start_count = 0
+        self.cancelled_at: dict[str, float] = {}  # when the user was told, by job
+        self.cancel_requested: set[str] = set()
+        self.statuses: dict[str, str] = {}  # last one that users were told, by job
+        self.faults_ended_at: float | None = None
+        self.violations: list[str] = []
+        self.recorded_tasks: set[str] = set()  # tasks whose start was ever recorded
+        self._waiting: dict[str, _WaitingJob] = {}
+        self._answered_at: dict[str, float] = {}
+        self._zones: dict[str, str] = {}  # by machine
+        self._observations: dict[str, deque[str]] = {}  # by job
+
+    def evidence(self, violation: str) -> list[str]:
+        """What was observed of the jobs that a violation names."""
+        return [
+            line
+            for job_id, lines in self._observations.items()
+            if job_id in violation
+            for line in lines
+        ]
+
+    def record_put(self, key: str, value: JsonValue, keys: Keys) -> None:
+        """A controller has written a key of the state service."""
+        if not key.startswith(ROUND_KEYS):
+            return
+        for machine, _, jobs in value:
+            for job_id, tasks in jobs:
+                if machine and f"{FINAL_KEYS}{job_id}" in keys:
+                    self.violations.append(f"started when over: {job_id} by {key}")
+                self.recorded_tasks |= {f"{job_id}/{task}" for task in tasks}
+
+    def record_start_command(self, task: str, machine: str, token: int) -> None:
+        """A worker has accepted a start. With the image cached, the task would run at once."""
+        now = asyncio.get_running_loop().time()
+        self._observe(task, f"{machine}: told to start {task}, token {token}")
+        at = self.cancelled_at.get(job_id_of(task))
+        if at is not None and now > at + self._environment.workers.cancel_s:
+            self.violations.append(
+                f"ran_cancelled: {task} was started on {machine} {now - at:.1f} s after its cancel"
+            )
+
+    def record_start(self, task: str, machine: MachineDescription, now: float) -> None:
+        """The task has its image and runs on the machine."""
+        self.start_count += 1
+        name = machine.name
+        job = self._job(task)
+        limit = self._environment.limits[job.team]
+        over_limit = self.used_cores.get(job.team, 0.0) + job.cores > limit
+        if over_limit or self.machines_by_task.get(task):
+            # A hanging worker kills its tasks only when it goes on, but then by its lease.
+            for other in list(self._environment.cloud.machines.values()):
+                other.worker.expire()
+        if self.machines_by_task.get(task):
+            others = self.machines_by_task[task]
+            self.violations.append(f"ran_twice: {task} on {name} and {others} at {now:.1f}")
+        if task not in self.recorded_tasks:
+            self.violations.append(f"no record: {task} started on {name} at {now:.1f}")
+        self.machines_by_task.setdefault(task, set()).add(name)
+        self.used_cores[job.team] = self.used_cores.get(job.team, 0.0) + job.cores
+        self.started_at.setdefault(task, now)
+        self._zones[name] = machine.zone
+        self._observe(task, f"{name} ({machine.zone}): {task} has its image and is on")
+        reason = self._misplacement(task, job, machine)
+        if reason:
+            self.violations.append(f"wrong_place: {task} on {name} at {now:.1f}: {reason}")
+        if self.used_cores[job.team] > limit:
+            self.violations.append(self._quota_violation(task, job.team, now))
+        if self.cancelled_at:
+            self.check_cancellations()
+
+    def record_leave(self, task: str, machine: str) -> None:
+        """The task is no longer on the machine: it ended, was killed, or the machine is gone."""
+        machines = self.machines_by_task.get(task, set())
+        if machine in machines:
+            machines.remove(machine)
+            self._observe(task, f"{machine}: {task} has left")
+            job = self._job(task)
+            self.used_cores[job.team] -= job.cores
+
+    def record_completion(self, task: str) -> None:
+        """The task has completed its work."""
+        self.completed_tasks.add(task)
+
+    def record_answer(self, job_id: str, http_status: int, answer: dict[str, Any]) -> None:
+        """A user got an answer about the job."""
+        self._observe(job_id, f"user: {http_status} {answer.get('status', '')}")
+        if http_status == HTTPStatus.NOT_FOUND:
+            if job_id in self.statuses:
+                self.violations.append(f"forgotten: {job_id}")
+            return
+        if http_status not in (HTTPStatus.OK, HTTPStatus.CREATED):
+            return
+        self._answered_at[job_id] = asyncio.get_running_loop().time()
+        if job_id not in self._environment.jobs:
+            self.violations.append(f"invented: {job_id}")
+        self._check_status_change(job_id, answer["status"])
+        self.statuses[job_id] = answer["status"]
+
+    def check_cancellations(self) -> None:
+        """No task of a job runs ``cancel_s`` after its user was told that it is cancelled."""
+        now = asyncio.get_running_loop().time()
+        for task, machines in self.machines_by_task.items():
+            at = self.cancelled_at.get(job_id_of(task))
+            if machines and at is not None and now > at + self._environment.workers.cancel_s:
+                self.violations.append(f"ran_cancelled: {task} at {now:.1f}")
+
+    def check_answers(self, asked_about: Collection[str] | None = None) -> None:
+        """Once all faults are over, users get answers about each accepted job.
+
+        Args:
+            asked_about: The jobs whose users go on asking; None for all.
+        """
+        now = asyncio.get_running_loop().time()
+        for job_id in self.statuses if asked_about is None else asked_about:
+            if job_id not in self.statuses:
+                continue
+            since = max(self._answered_at[job_id], self.faults_ended_at or now)
+            if now - since > MAX_ANSWER_GAP_S:
+                self.violations.append(
+                    f"forgotten: no answer about {job_id} for {now - since:.0f} s"
+                )
+
+    def check_waiting_jobs(self) -> None:
+        """Once all faults are over, no job waits while a machine and its team's quota have room."""
+        now = asyncio.get_running_loop().time()
+        if self.faults_ended_at is None:
+            return
+        free_cores = self._free_cores()
+        for job_id in self._environment.jobs:
+            self._check_waiting_job(job_id, free_cores, now)
+
+    # ---- single rules ------------------------------------------------------------------------
+
+    def _check_status_change(self, job_id: str, status: str) -> None:
+        before = self.statuses.get(job_id)
+        if status == "aborted" and job_id not in self.cancel_requested:
+            self.violations.append(f"went_back: {job_id} cancelled by nobody")
+        if before in FINAL_STATUSES and status != before:
+            self.violations.append(f"went_back: {job_id} {before} to {status}")
+        if status == "done" and not self.completed_tasks.issuperset(self._tasks(job_id)):
+            self.violations.append(f"not_done: {job_id}")
+
+    def _misplacement(self, task: str, job: protocol.JobSpec, machine: MachineDescription) -> str:
+        """Why the task may not run on the machine; empty if it may."""
+        if machine.spot and not job.spot_allowed:
+            return "a spot machine"
+        if job.machine_types is not None and machine.machine_type not in job.machine_types:
+            return f"a machine of type {machine.machine_type}"
+        if job.zone not in (None, machine.zone):
+            return f"in zone {machine.zone}"
+        return self._zone_violation(job_id_of(task), job, machine.zone)
+
+    def _zone_violation(self, job_id: str, job: protocol.JobSpec, zone: str) -> str:
+        """Why a task may not run in the zone, given the job's other tasks; empty if it may."""
+        if not (job.single_zone or job.spread_zones):
+            return ""
+        zones = [
+            self._zones[name]
+            for task in self._tasks(job_id)
+            for name in self.machines_by_task.get(task, ())
+        ]
+        if job.single_zone and set(zones) != {zone}:
+            return f"tasks of a single-zone job in {sorted(set(zones))}"
+        if job.spread_zones and zones.count(zone) > (job.task_count + 1) // 2:
+            return f"{zones.count(zone)} of {job.task_count} tasks of a spread job in {zone}"
+        return ""
+
+    def _quota_violation(self, task: str, team: str, now: float) -> str:
+        """The violation, with all tasks of the team that are on machines."""
+        running = [
+            f"{other} on {'+'.join(sorted(machines))}"
+            for other, machines in self.machines_by_task.items()
+            if machines and self._job(other).team == team
+        ]
+        used, limit = self.used_cores[team], self._environment.limits[team]
+        return (
+            f"quota: {team} at {now:.1f}: {used:g} of {limit:g} with {task}; {', '.join(running)}"
+        )
+
+    def _free_cores(self) -> dict[str, float]:
+        """Free cores of each machine that is up and works."""
+        environment = self._environment
+        cores = float(environment.made_of.hulls[0]["cores"])
+        free = {
+            name: cores
+            for name, machine in environment.cloud.machines.items()
+            if machine.worker.up and not machine.worker.faulty
+        }
+        for task, machines in self.machines_by_task.items():
+            for name in machines & free.keys():
+                free[name] -= self._job(task).cores
+        return free
+
+    def _check_waiting_job(self, job_id: str, free_cores: dict[str, float], now: float) -> None:
+        environment = self._environment
+        job = self._job_spec(job_id)
+        is_over = self.statuses.get(job_id) in (None, *FINAL_STATUSES)
+        is_over = is_over or job_id in environment.mistaken
+        tasks = self._tasks(job_id)
+        has_waiting_task = any(
+            task not in self.completed_tasks and not self.machines_by_task.get(task)
+            for task in tasks
+        )
+        started_tasks = sum(task in self.started_at for task in tasks)
+        fitting = self._fitting_machines(job, free_cores)
+        previous = self._waiting.get(job_id, _WaitingJob(now, started_tasks, fitting))
+        # Only the same machine all the time counts: others may become free by turns.
+        fitting &= previous.fitting_machines
+        used = self.used_cores.get(job.team, 0.0) + job.cores
+        if is_over or not has_waiting_task or not fitting or used > environment.limits[job.team]:
+            self._waiting.pop(job_id, None)
+        elif started_tasks > previous.started_tasks:
+            self._waiting[job_id] = _WaitingJob(now, started_tasks, fitting)
+        else:
+            self._waiting[job_id] = previous._replace(fitting_machines=fitting)
+            if now - previous.since > MAX_WAIT_S:
+                since = f"{previous.since:.1f}"
+                self.violations.append(f"left waiting: {job_id} since {since}, {fitting}")
+
+    def _fitting_machines(self, job: protocol.JobSpec, free_cores: dict[str, float]) -> set[str]:
+        """Machines with room for a task of the job."""
+        fitting = set()
+        for name, cores in free_cores.items():
+            machine = self._environment.cloud.machines[name].description
+            kind_allowed = job.spot_allowed or not machine.spot
+            if cores >= job.cores and kind_allowed and job.zone in (None, machine.zone):
+                fitting.add(name)
+        return fitting
+
+    # ---- helpers -----------------------------------------------------------------------------
+
+    def _observe(self, task: str, text: str) -> None:
+        """Keep an observation as evidence for the job that the task belongs to."""
+        now = asyncio.get_running_loop().time()
+        job_id = task.partition("/")[0]
+        lines = self._observations.setdefault(job_id, deque(maxlen=MAX_OBSERVATIONS))
+        lines.append(f"{now:10.3f} {text}")
+
+    def _job(self, task: str) -> protocol.JobSpec:
+        return self._job_spec(job_id_of(task))
+
+    def _job_spec(self, job_id: str) -> protocol.JobSpec:
+        return msgspec.convert(self._environment.jobs[job_id], protocol.JobSpec)
+
+    def _tasks(self, job_id: str) -> list[str]:
+        count = self._job_spec(job_id).task_count
+        return [protocol.task_id(job_id, index) for index in range(count)]
--- a/petrelthread/emulator/loopback.py
+++ b/petrelthread/emulator/loopback.py
@@ -1,4 +1,4 @@
-"""Links between real processes on the loopback interface, as far as the faults let them."""
+"""Links between real processes on the loopback interface, with faults."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import orjson
 
+from petrelthread.emulator.environment import RequestHandler, RequestSender
 from petrelthread.emulator.faults import LinkFaults
-from petrelthread.emulator.world import Handler
 from petrelthread.http import (
     Client,
     ClientResponse,
@@ -22,23 +22,27 @@
 )
 
 HOST = "127.0.0.1"
-HANG_S = 60.0  # longer than anybody waits for an answer
-CONTROLLER = "controller"  # source of a direct command: which one is not known
-CONNECTIONS = 256  # that one stand-in takes
-CLIENT_SOCKETS = 16  # of a worker or user
+HANG_S = 60.0  # longer than any timeout
+CONTROLLER = "controller"  # source of direct commands, whichever controller sends them
+MAX_CONNECTIONS = 256  # to one emulated program
+CLIENT_CONNECTIONS = 16  # of a worker, user or controller
 
 
 def ignore_cancelled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Exception handler of a loop that ends with connections open. They are cancelled, and the
-    streams of asyncio report that as an error."""
+    """Exception handler of a loop that ends with open connections.
+
+    They are cancelled, which asyncio's streams would report as an error.
+    """
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
 
 def reserve_port() -> socket.socket:
-    """A socket bound to a port of its own. As long as it is open and does not listen, a controller
-    can listen there, and the system gives the port to nobody else: a port that was only looked up
-    was taken by another soak before the controller came up."""
+    """A socket bound to a port of its own.
+
+    While it is open and does not listen, a controller can listen on the port, and the system gives
+    it to no other program.
+    """
     bound = socket.socket()
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bound.bind((HOST, 0))
@@ -51,7 +55,7 @@
 
 
 class LoopbackNetwork:
-    """Stand-ins listen on ports of their own; each link is named, so that it can be cut."""
+    """Gives each emulated program a port, and names each link so that faults can apply to it."""
 
     def __init__(self, faults: LinkFaults) -> None:
         self._faults = faults
@@ -63,7 +67,7 @@
     # ---- listening ---------------------------------------------------------------------------
 
     def new_address(self, name: str) -> str:
-        """Reserve a port; nobody answers there before ``attach``."""
+        """Reserve a port. Requests to it are refused until ``attach``."""
         bound = reserve_port()
         address = address_of(bound)
         self._bound[address] = bound
@@ -71,21 +75,21 @@
         return address
 
     def reserve_for_process(self, name: str) -> str:
-        """An address at which a process of that name will listen by itself."""
+        """Reserve a port on which a process of that name will listen itself."""
         return self.new_address(name)
 
-    def attach(self, address: str, name: str, handler: Handler) -> None:
-        """Listen at a reserved address, for requests of any controller."""
+    def attach(self, address: str, name: str, handler: RequestHandler) -> None:
+        """Serve requests of any controller at a reserved address."""
         self._background_task(self._listen(address, CONTROLLER, name, handler))
 
-    async def link(self, source: str, name: str, handler: Handler) -> str:
-        """Listen for the requests of one source; the address."""
+    async def link(self, source: str, name: str, handler: RequestHandler) -> str:
+        """Serve the requests of one source. Returns the address for them."""
         address = self.new_address(name)
         await self._listen(address, source, name, handler)
         return address
 
     def detach(self, address: str) -> None:
-        """Stop listening."""
+        """Stop serving and free the port."""
         server = self._servers.pop(address, None)
         if server is not None:
             server.close()
@@ -93,15 +97,15 @@
         if bound is not None:
             bound.close()
 
-    async def _listen(self, address: str, source: str, name: str, handler: Handler) -> None:
+    async def _listen(self, address: str, source: str, name: str, handler: RequestHandler) -> None:
         bound = self._bound.get(address)
         if bound is None:
             return  # detached meanwhile
-        server = Server(self._served(source, name, handler), CONNECTIONS)
+        server = Server(self._served(source, name, handler), MAX_CONNECTIONS)
         self._servers[address] = await server.listen_on(bound)
 
     def _served(
-        self, source: str, name: str, handler: Handler
+        self, source: str, name: str, handler: RequestHandler
     ) -> Callable[[str, str, bytes], Awaitable[Response]]:
         async def serve(method: str, target: str, body: bytes) -> Response:
             fate = self._faults.fate(source, name, target)
@@ -118,11 +122,11 @@
 
         return serve
 
-    # ---- asking ------------------------------------------------------------------------------
+    # ---- sending -----------------------------------------------------------------------------
 
-    def requester(self, source: str) -> Callable[..., Awaitable[ClientResponse]]:
-        """What carries the requests of a worker or user."""
-        client = Client(CLIENT_SOCKETS)
+    def requester(self, source: str) -> RequestSender:
+        """What sends the requests of a worker, user or controller."""
+        client = Client(CLIENT_CONNECTIONS)
 
         async def request(
             address: str, method: str, target: str, body: Any = None, timeout: float = 2.0
@@ -148,7 +152,7 @@
         client: Client, delay_s: float, address: str, method: str, target: str, body: Any
     ) -> None:
         await asyncio.sleep(delay_s)
-        with contextlib.suppress(NoResponseError):  # nobody waits for it
+        with contextlib.suppress(NoResponseError):  # the copy's answer is not used
             await client.request(address, method, target, body)
 
     def _background_task(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -157,17 +161,15 @@
         task.add_done_callback(self._background.discard)
 
     def close(self) -> None:
-        """Stop everything."""
+        """Cancel background tasks and free all ports."""
         for task in self._background:
             task.cancel()
         for address in [*self._servers, *self._bound]:
             self.detach(address)
 
 
-def forwarder(
-    requester: Callable[..., Awaitable[ClientResponse]], address: str, timeout_s: float
-) -> Handler:
-    """A handler that passes requests on, as between two controllers."""
+def forwarder(requester: RequestSender, address: str, timeout_s: float) -> RequestHandler:
+    """A handler that passes requests on to an address."""
 
     async def forward(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         try:
--- a/petrelthread/emulator/loopback_world.py
+++ b/petrelthread/emulator/loopback_environment.py
@@ -1,4 +1,4 @@
-"""The stand-ins, the links between them, and real controllers on the loopback interface."""
+"""Emulated programs, the links between them, and real controllers on the loopback interface."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from petrelthread import protocol
 from petrelthread.emulator.cloud import Cloud
 from petrelthread.emulator.faults import CLOUD, STATE, LinkFaults
-from petrelthread.emulator.judge import Judge
+from petrelthread.emulator.invariant_checker import InvariantChecker
 from petrelthread.emulator.loopback import LoopbackNetwork, forwarder
 from petrelthread.emulator.processes import (
     CANCEL_S,
@@ -35,14 +35,14 @@
 from petrelthread.state import JobRecord, encode
 from petrelthread.store import KEY_PREFIX
 
-PEER_WAIT_S = 0.8
-SPOT_SHARE = 2 / 3
+PEER_TIMEOUT_S = 0.8
+SPOT_SHARE = 2 / 3  # of the machines
 BOOT_S = 1.5
 
 
 @dataclass(frozen=True)
 class LoopbackOptions:
-    """How large the world is, for how many ``seconds`` faults last, whose controllers are run."""
+    """Size of the environment, duration of the faults, and the checkout to run."""
 
     seconds: float = 40.0
     controllers: int = 3
@@ -51,8 +51,8 @@
 
 
 @dataclass(frozen=True)
-class LoopbackStock:
-    """What the cloud has: a few machines, scarce in each zone."""
+class LoopbackDeployment:
+    """A few machines, scarce in each zone."""
 
     machines: int
     nodes: tuple[str, ...]
@@ -61,6 +61,7 @@
 
     @property
     def hulls(self) -> tuple[dict[str, Any], ...]:
+        """The one machine type of the catalogue."""
         return (
             {
                 "sku": "small",
@@ -78,24 +79,27 @@
 
     @property
     def spot(self) -> int:
+        """How many spot machines there are."""
         return math.ceil(self.machines * SPOT_SHARE)
 
     @property
     def ordinary(self) -> int:
+        """How many on-demand machines there are."""
         return self.machines - self.spot
 
     @property
     def zone_capacity(self) -> int:
+        """How many machines a zone has."""
         return math.ceil(self.machines / len(ZONES))
 
 
-class LoopbackWorld:
-    """The stand-ins, the links between them and the controllers' processes."""
+class LoopbackEnvironment:
+    """Owns the emulated programs, the links and the controllers' processes."""
 
     def __init__(self, seed: int, options: LoopbackOptions, directory: Path) -> None:
         self.random = random.Random(seed)
-        names = tuple(f"node-{n}" for n in range(options.controllers))
-        self.made_of = LoopbackStock(options.machines, names)
+        names = tuple(f"node-{index}" for index in range(options.controllers))
+        self.made_of = LoopbackDeployment(options.machines, names)
         self.workers = Workers(report_s=REPORT_S, lease_s=LEASE_S, cancel_s=CANCEL_S)
         self.limits = {team: most or UNLIMITED for team, _, most in TEAMS}
         self.jobs: dict[str, dict[str, Any]] = {}
@@ -104,8 +108,8 @@
         self.run_s: dict[str, float] = {}
         self.faults = LinkFaults(self.random)
         self.net = LoopbackNetwork(self.faults)
-        self.judge = Judge(self)
-        self.store = StateService(TXN_OPS, self.judge.on_put)
+        self.checker = InvariantChecker(self)
+        self.store = StateService(TXN_OPS, self.checker.record_put)
         self.cloud = Cloud(self)
         self.controllers: list[ControllerProcess] = []
         self._public = {name: self.net.reserve_for_process(name) for name in names}
@@ -114,10 +118,10 @@
         self._directory = directory
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    # ---- what the stand-ins ask of their world --------------------------------------------------
+    # ---- interface of the emulated programs --------------------------------------------------
 
     def background(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run something that nobody waits for."""
+        """Run something as a task of its own."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -127,7 +131,7 @@
         return self._public[node]
 
     def is_bad(self, leg: str) -> bool:
-        """No job of a soak is broken by itself; machines are, at times."""
+        """No job of a soak fails by itself; machines do."""
         return False
 
     def ran_s(self, leg: str) -> float:
@@ -135,13 +139,13 @@
         job_id = leg.rpartition("/")[0]
         return math.inf if self.jobs[job_id]["shape"] == "service" else self.run_s[job_id]
 
-    # ---- setting up --------------------------------------------------------------------------
+    # ---- start and end -----------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Links, settings and processes."""
-        for at, name in enumerate(self.made_of.nodes):
+        """Open the links, and start the controllers."""
+        for index, name in enumerate(self.made_of.nodes):
             addresses = await self._addresses(name)
-            text = settings_text(name, ZONES[at % len(ZONES)], addresses)
+            text = settings_text(name, ZONES[index % len(ZONES)], addresses)
             controller = ControllerProcess(name, self._options.sources, self._directory, text)
             self.controllers.append(controller)
             controller.start()
@@ -150,7 +154,7 @@
         siblings = []
         for other in self.made_of.nodes:
             if other != name:
-                pass_on = forwarder(self.net.requester(name), self._peers[other], PEER_WAIT_S)
+                pass_on = forwarder(self.net.requester(name), self._peers[other], PEER_TIMEOUT_S)
                 siblings.append((other, await self.net.link(name, other, pass_on)))
         return Addresses(
             self._public[name],
@@ -161,20 +165,20 @@
         )
 
     def add_job(self, job: PlannedJob) -> None:
-        """Make a job known; one of the backlog is in the state service already."""
+        """Add a job. One of the backlog is written to the state service at once."""
         self.jobs[job.job_id] = job.spec
         self.run_s[job.job_id] = job.run_s
         if job.submit_s < 0:
             spec = msgspec.convert(job.spec, protocol.JobSpec)
             value = encode(JobRecord.from_spec(spec, time.time() + job.submit_s))
             self.store.put(f"{KEY_PREFIX}j/{job.job_id}", value)
-            self.judge.told(job.job_id, 201, {"status": "queued"})
+            self.checker.record_answer(job.job_id, 201, {"status": "queued"})
 
     @property
     def leader(self) -> str | None:
-        """Whom the state service has as the leader."""
+        """The leader on record in the state service."""
         value = self.store.keys.get(f"{KEY_PREFIX}lead")
-        return None if value is None else str(value[0]["node"])
+        return None if value is None else str(value.value["node"])
 
     def close(self) -> None:
         """End all processes, machines and links."""
--- a/petrelthread/emulator/processes.py
+++ b/petrelthread/emulator/processes.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Addresses:
-    """Where one controller listens, and where it finds the others and the services."""
+    """Where one controller listens, and where it reaches the others and the services."""
 
     public: str
     peer: str
@@ -80,8 +80,10 @@
 
 
 def stamp_lines(source: IO[bytes], path: Path) -> None:
-    """Write each line with the time at which it came, on the clock that the judge uses, in seconds.
-    Ends with the process that writes to ``source``."""
+    """Write each line with the time of its arrival in seconds, on the invariant checker's clock.
+
+    Returns when the process that writes to ``source`` ends.
+    """
     with path.open("ab") as log, source:
         for line in source:
             log.write(f"{time.monotonic():10.3f} ".encode() + line)
@@ -89,11 +91,17 @@
 
 
 class ControllerProcess:
-    """One controller; it may be killed, paused and started again with the same settings."""
+    """One controller that can be killed, paused and started again with the same settings."""
 
     def __init__(self, name: str, sources: Path, directory: Path, settings: str) -> None:
-        """``sources``: the checkout whose ``run.py`` is run. ``directory``: for settings and log;
-        ``settings``: the text of the settings file."""
+        """Write the settings file; the process is not started yet.
+
+        Args:
+            name: The controller's name.
+            sources: The checkout whose ``run.py`` is run.
+            directory: For the settings file and the log.
+            settings: Text of the settings file.
+        """
         self.name = name
         self._sources = sources
         self._settings = directory / f"{name}.toml"
@@ -103,7 +111,7 @@
         self.unexpected_exits = 0
 
     def start(self) -> None:
-        """Start it, unless it runs."""
+        """Start the process unless it runs."""
         if self.running:
             return
         command = [sys.executable, str(self._sources / "run.py"), "--config", str(self._settings)]
@@ -127,24 +135,24 @@
         return self._process is not None and self._process.poll() is None
 
     def watch(self) -> None:
-        """Start it anew if it ended by itself, and count that."""
+        """Restart the process if it exited by itself, and count that."""
         if self._process is not None and self._process.poll() is not None:
             self.unexpected_exits += 1
             self.start()
 
     def kill(self) -> None:
-        """End it at once, paused or not."""
+        """End the process at once, paused or not."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
             self._process = None
 
     def pause(self) -> None:
-        """It stands still while clocks run on."""
+        """Stop the process while clocks run on."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """It goes on."""
+        """Let the paused process continue."""
         self._signal(signal.SIGCONT)
 
     def _signal(self, number: signal.Signals) -> None:
--- a/petrelthread/emulator/state_service.py
+++ b/petrelthread/emulator/state_service.py
@@ -1,145 +1,192 @@
-"""Stand-in for the state service: keys with revisions, transactions, leases, watches."""
+"""Emulated state service: keys with revisions, transactions, leases and watches."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from http import HTTPStatus
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, unquote, urlsplit
 
-Keys = dict[str, tuple[Any, int, int | None]]  # value, revision of the last change, lease
-ITEMS_MOST = 1000  # in one page
+MAX_PAGE = 1000  # keys
+WATCH_POLL_S = 0.2  # how often a waiting watch looks at the leases and its own end
+MIN_WATCH_POLL_S = 0.05
+
+JsonValue = Any  # a value as controllers store it
+
+
+class StoredValue(NamedTuple):
+    """A key's value."""
+
+    value: JsonValue
+    revision: int  # of the last change
+    lease_id: int | None
+
+
+class Lease(NamedTuple):
+    """A lease that deletes its keys when it expires."""
+
+    duration_s: float
+    expires_at: float
+
+
+Keys = dict[str, StoredValue]
 
 
 class StateService:
-    """Keys, leases and watches; one lock-free copy, since all of it runs on one event loop."""
+    """Keys, leases and watches in one copy. It needs no locks on the single event loop."""
 
-    def __init__(self, txn_ops: int, on_put: Callable[[str, Any, Keys], None]) -> None:
-        """``txn_ops``: changes that a transaction may make. ``on_put``: told of each put with the
-        keys as they are then."""
-        self.txn_ops = txn_ops
+    def __init__(self, max_operations: int, on_put: Callable[[str, JsonValue, Keys], None]) -> None:
+        """Start empty.
+
+        Args:
+            max_operations: How many changes a transaction may make.
+            on_put: Called for each put with key, value and all keys as they are then.
+        """
+        self._max_operations = max_operations
         self._on_put = on_put
         self.keys: Keys = {}
-        self.revision = 1
-        self.log: list[dict[str, Any]] = []
-        self.leases: dict[int, tuple[float, float]] = {}  # id: life, end
-        self.serial = 0
-        self.down = False
-        self.refused: set[str] = set()
-        self.changed = asyncio.Event()
-        self.puts: list[tuple[str, Any]] = []
-
-    def _now(self) -> float:
-        return asyncio.get_running_loop().time()
-
-    def _expire(self) -> None:
-        if self.down:
-            return  # an outage gives all leases their full time again
-        for lease, (_, end) in list(self.leases.items()):
-            if self._now() > end:
-                self._end(lease)
-
-    def _end(self, lease: int) -> None:
-        self.leases.pop(lease, None)
-        gone = [key for key, (_, _, held_by) in self.keys.items() if held_by == lease]
-        if gone:
-            self._apply([{"drop": key} for key in gone])
-
-    def _apply(self, ops: list[dict[str, Any]]) -> None:
-        self.revision += 1
-        for op in ops:
-            if "put" in op:
-                self.keys[op["put"]] = (op["v"], self.revision, op.get("tether"))
-                self.log.append({"put": op["put"], "v": op["v"], "stamp": self.revision})
-                self.puts.append((op["put"], op["v"]))
-                self._on_put(op["put"], op["v"], self.keys)
-            elif op["drop"] in self.keys:
-                del self.keys[op["drop"]]
-                self.log.append({"drop": op["drop"], "stamp": self.revision})
-        self.changed.set()
-        self.changed = asyncio.Event()
-
-    def put(self, key: str, value: Any) -> None:
+        self.puts: list[tuple[str, JsonValue]] = []
+        self.refused: set[str] = set()  # controllers that get no answer
+        self._revision = 1
+        self._log: list[dict[str, Any]] = []  # changes as watches show them
+        self._leases: dict[int, Lease] = {}
+        self._last_lease_id = 0
+        self._down = False
+        self._changed = asyncio.Event()
+
+    def put(self, key: str, value: JsonValue) -> None:
         """Store a value, as if it had been written before."""
         self._apply([{"put": key, "v": value}])
 
     def drop(self, key: str) -> None:
-        """Delete a key, as if its lease had ended."""
+        """Delete a key, as if its lease had expired."""
         self._apply([{"drop": key}])
 
-    def outage(self, down: bool) -> None:
-        """Begin or end an outage; the end gives all leases their full time again."""
-        self.down = down
+    def set_outage(self, down: bool) -> None:
+        """Begin or end an outage. Its end gives all leases their full duration again."""
+        self._down = down
         if not down:
-            self.leases = {i: (life, self._now() + life) for i, (life, _) in self.leases.items()}
+            self._leases = {
+                lease_id: self._renewed(lease) for lease_id, lease in self._leases.items()
+            }
 
     async def handle(self, source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         """Serve one request; ``source`` names the controller that sent it."""
-        if self.down or source in self.refused:
-            return 503, {"error": "down"}
-        self._expire()
+        if self._down or source in self.refused:
+            return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "down"}
+        self._expire_leases()
         url = urlsplit(target)
         query = {key: values[0] for key, values in parse_qs(url.query).items()}
         if url.path == "/keys":
-            found = [
-                {"path": key, "v": value, "stamp": stamp}
-                for key, (value, stamp, _) in sorted(self.keys.items())
-                if key.startswith(query["prefix"]) and key > query.get("from", "")
-            ]
-            most = min(int(query["limit"]), ITEMS_MOST)
-            page = {"pairs": found[:most], "more": len(found) > most, "epoch": self.revision}
-            return 200, page
+            return self._list(query)
         if url.path == "/watch":
             return await self._watch(source, query)
         if url.path == "/multi":
-            return self._multi(body)
+            return self._transact(body["when"], body["apply"])
         if url.path == "/grants":
-            self.serial += 1
-            life = body["life_ms"] / 1000
-            self.leases[self.serial] = (life, self._now() + life)
-            return 200, {"tether": self.serial}
-        lease = int(unquote(url.path).split("/")[2])
-        if lease not in self.leases:
-            return 404, {}
+            return self._grant(body["life_ms"] / 1000)
+        lease_id = int(unquote(url.path).split("/")[2])
+        if lease_id not in self._leases:
+            return HTTPStatus.NOT_FOUND, {}
         if method == "DELETE":
-            self._end(lease)
+            self._end_lease(lease_id)
         else:
-            life = self.leases[lease][0]
-            self.leases[lease] = (life, self._now() + life)
-        return 200, {}
+            self._leases[lease_id] = self._renewed(self._leases[lease_id])
+        return HTTPStatus.OK, {}
+
+    # ---- requests ----------------------------------------------------------------------------
+
+    def _list(self, query: dict[str, str]) -> tuple[int, Any]:
+        found = [
+            {"path": key, "v": stored.value, "stamp": stored.revision}
+            for key, stored in sorted(self.keys.items())
+            if key.startswith(query["prefix"]) and key > query.get("from", "")
+        ]
+        limit = min(int(query["limit"]), MAX_PAGE)
+        more = len(found) > limit
+        return HTTPStatus.OK, {"pairs": found[:limit], "more": more, "epoch": self._revision}
 
     async def _watch(self, source: str, query: dict[str, str]) -> tuple[int, Any]:
-        end = self._now() + int(query.get("wait_ms", "0")) / 1000
+        ends_at = self._now() + int(query.get("wait_ms", "0")) / 1000
+        after, prefix = int(query["from"]), query["prefix"]
         while True:
-            self._expire()
-            after = int(query["from"])
-            log = [
-                event
-                for event in self.log
-                if event["stamp"] > after
-                and str(event.get("put") or event.get("drop")).startswith(query["prefix"])
+            self._expire_leases()
+            changes = [
+                change
+                for change in self._log
+                if change["stamp"] > after
+                and str(change.get("put") or change.get("drop")).startswith(prefix)
             ]
-            quiet = self.down or source in self.refused
-            if not quiet and (log or self._now() >= end):
-                return 200, {"epoch": self.revision, "log": log}
+            unavailable = self._down or source in self.refused
+            if not unavailable and (changes or self._now() >= ends_at):
+                return HTTPStatus.OK, {"epoch": self._revision, "log": changes}
             try:
-                async with asyncio.timeout(min(0.2, max(end - self._now(), 0.05))):
-                    await self.changed.wait()
+                left_s = max(ends_at - self._now(), MIN_WATCH_POLL_S)
+                async with asyncio.timeout(min(WATCH_POLL_S, left_s)):
+                    await self._changed.wait()
             except TimeoutError:
                 pass
 
-    def _multi(self, body: Any) -> tuple[int, Any]:
-        assert len(body["apply"]) <= self.txn_ops
-        for op in body["apply"]:
-            if op.get("tether") is not None and op["tether"] not in self.leases:
-                return 400, {"error": "no such lease"}
+    def _transact(
+        self, conditions: list[dict[str, Any]], operations: list[dict[str, Any]]
+    ) -> tuple[int, Any]:
+        assert len(operations) <= self._max_operations
+        for operation in operations:
+            if operation.get("tether") is not None and operation["tether"] not in self._leases:
+                return HTTPStatus.BAD_REQUEST, {"error": "no such lease"}
         failed = [
-            c["path"]
-            for c in body["when"]
-            if (self.keys[c["path"]][1] if c["path"] in self.keys else 0) != c["stamp"]
+            condition["path"]
+            for condition in conditions
+            if self._revision_of(condition["path"]) != condition["stamp"]
         ]
         if failed:
-            return 409, {"failed": failed, "epoch": self.revision}
-        if body["apply"]:
-            self._apply(body["apply"])
-        return 200, {"epoch": self.revision}
+            return HTTPStatus.CONFLICT, {"failed": failed, "epoch": self._revision}
+        if operations:
+            self._apply(operations)
+        return HTTPStatus.OK, {"epoch": self._revision}
+
+    def _grant(self, duration_s: float) -> tuple[int, Any]:
+        self._last_lease_id += 1
+        self._leases[self._last_lease_id] = Lease(duration_s, self._now() + duration_s)
+        return HTTPStatus.OK, {"tether": self._last_lease_id}
+
+    # ---- keys and leases ---------------------------------------------------------------------
+
+    def _revision_of(self, key: str) -> int:
+        """Revision of a key's last change; 0 if it does not exist."""
+        return self.keys[key].revision if key in self.keys else 0
+
+    def _apply(self, operations: list[dict[str, Any]]) -> None:
+        self._revision += 1
+        for operation in operations:
+            if "put" in operation:
+                key, value = operation["put"], operation["v"]
+                self.keys[key] = StoredValue(value, self._revision, operation.get("tether"))
+                self._log.append({"put": key, "v": value, "stamp": self._revision})
+                self.puts.append((key, value))
+                self._on_put(key, value, self.keys)
+            elif operation["drop"] in self.keys:
+                del self.keys[operation["drop"]]
+                self._log.append({"drop": operation["drop"], "stamp": self._revision})
+        self._changed.set()
+        self._changed = asyncio.Event()
+
+    def _expire_leases(self) -> None:
+        if self._down:
+            return  # the end of an outage renews all leases
+        for lease_id, lease in list(self._leases.items()):
+            if self._now() > lease.expires_at:
+                self._end_lease(lease_id)
+
+    def _end_lease(self, lease_id: int) -> None:
+        self._leases.pop(lease_id, None)
+        tied = [key for key, stored in self.keys.items() if stored.lease_id == lease_id]
+        if tied:
+            self._apply([{"drop": key} for key in tied])
+
+    def _renewed(self, lease: Lease) -> Lease:
+        return Lease(lease.duration_s, self._now() + lease.duration_s)
+
+    def _now(self) -> float:
+        return asyncio.get_running_loop().time()
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -122,7 +122,7 @@
 def test_an_outage_of_the_state_service_is_503_at_once() -> None:
     async def main() -> None:
         world = await led_world()
-        world.store.outage(True)
+        world.store.set_outage(True)
         before = asyncio.get_running_loop().time()
         assert (await world.ask("n2", "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
         assert (await world.ask("n2", "GET", "/v2/runs/wk-000003"))[0] == 503
--- a/petrelthread/provisioning/test_provisioner.py
+++ b/petrelthread/provisioning/test_provisioner.py
@@ -19,7 +19,7 @@
         await world.submit(job("wk-000001", 4, guess_s=60.0))
         await world.running(4)
         first = await world.led()
-        lost = next(iter(world.cloud.machines.values()))["worker"]
+        lost = next(iter(world.cloud.machines.values())).worker
         world.net.cut |= {frozenset((lost.name, n)) for n in NODES}
         while not lost.dead:
             await asyncio.sleep(0.5)
@@ -47,14 +47,14 @@
         rented = world.cloud.rented
         assert rented == len(world.cloud.machines) > 0
         for machine in world.cloud.machines.values():  # their next reports come late
-            machine["worker"].frozen = True
+            machine.worker.frozen = True
         world.crash(await world.led())
         await world.submit(job("wk-000002", 6, guess_s=60.0))
         await world.led()
         await asyncio.sleep(2.5)
         assert world.cloud.rented == rented
         for machine in world.cloud.machines.values():
-            machine["worker"].frozen = False
+            machine.worker.frozen = False
         await world.until_over(60.0)
 
     play(scenario())
@@ -72,11 +72,11 @@
         world.run_s = 30.0
         await world.submit(job("wk-000001", 2))
         await asyncio.sleep(startup_s + 5.0)
-        kinds = [(m["driftwood"], m["roost"]) for m in world.cloud.machines.values()]
+        kinds = [(m.description.spot, m.description.zone) for m in world.cloud.machines.values()]
         assert {(False, "a"), (False, "b")} <= set(kinds)
         await world.submit(job("wk-000002", 1, jobclass="rush"))
         await asyncio.sleep(75.0)
         # Its first job accepts spot machines: no on-demand capacity is kept any more.
-        assert all(m["driftwood"] for m in world.cloud.machines.values())
+        assert all(m.description.spot for m in world.cloud.machines.values())
 
     play(scenario())
--- a/tests/golden_data.py
+++ b/tests/golden_data.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from petrelthread.emulator.world import Handler
+from petrelthread.emulator.environment import RequestHandler
 from petrelthread.http import ClientResponse, Response
 from tests.world import World
 
@@ -62,7 +62,7 @@
         return ClientResponse(status, orjson.dumps(answer))
 
 
-class RecordedHosts(dict[str, Handler]):
+class RecordedHosts(dict[str, RequestHandler]):
     """Records every request that reaches an address of the network, and its answer."""
 
     def __init__(self, world: World) -> None:
@@ -71,7 +71,7 @@
             self[address] = handler
         world.net.hosts = self
 
-    def __setitem__(self, address: str, handler: Handler) -> None:
+    def __setitem__(self, address: str, handler: RequestHandler) -> None:
         async def recorded(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
             asked = orjson.loads(orjson.dumps(body))
             status, answer = await handler(source, method, target, body)
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -44,7 +44,7 @@
         await world.submit(job("wk-000001", 30, estimated_run_s=30.0))
         await world.running(6)
         deaf = next(iter(world.cloud.machines))
-        worker: Worker = world.cloud.machines[deaf]["worker"]
+        worker: Worker = world.cloud.machines[deaf].worker
         world.net.deaf.add(deaf)
         await asyncio.sleep(13.0)  # its lease has ended, and it has shown that
         drawn = starts_recorded(world, deaf)
@@ -63,7 +63,7 @@
         await world.submit(job("wk-000001", 60, estimated_run_s=30.0))
         await world.running(6)
         deaf = next(iter(world.cloud.machines))
-        worker: Worker = world.cloud.machines[deaf]["worker"]
+        worker: Worker = world.cloud.machines[deaf].worker
         world.net.deaf.add(deaf)
         await asyncio.sleep(5.0)
         world.net.deaf.clear()
@@ -156,10 +156,11 @@
         assert status == 503
         assert now() - before < 2.5
         assert await world.cancel("wk-000002") == "aborted"
-        starts = world.judge.starts
+        starts = world.checker.start_count
         while now() < since + 23.0 + 9.0:
             if cloud_too and now() < since + 23.0:
-                assert world.judge.starts == starts  # it renews their leases: nothing may start
+                # It renews their leases: nothing may start.
+                assert world.checker.start_count == starts
             assert world.nodes[old].election.role is not Role.LEADING or now() < since + 4.0
             await asyncio.sleep(0.5)
         assert world.nodes[old].election.role is Role.FOLLOWER
@@ -205,7 +206,7 @@
             if key == "pt/lead":
                 nonces.setdefault(value["epoch"], set()).add(value["nonce"])
         assert all(len(held) == 1 for held in nonces.values()), nonces
-        assert all(len(asked) == 1 for asked in world.cloud.asked.values())
+        assert all(len(asked) == 1 for asked in world.cloud.requests.values())
         rounds: dict[str, set[str]] = {}
         for key, value in world.store.puts:
             if key.startswith("pt/r/"):
@@ -242,16 +243,16 @@
     async def main() -> None:
         world = World()
         await world.submit(job("wk-000001", 2))
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         world.net.cut |= {frozenset(("user", n)) for n in NODES}
         with pytest.raises(NoResponseError):
             await world.ask("n0", "GET", "/v2/runs/wk-000001")
         await asyncio.sleep(60.0)
-        world.judge.nothing_forgotten()
-        assert not world.judge.broken
+        world.checker.check_answers()
+        assert not world.checker.violations
         await asyncio.sleep(20.0)
-        world.judge.nothing_forgotten()
-        assert any(text.startswith("forgotten") for text in world.judge.broken)
+        world.checker.check_answers()
+        assert any(text.startswith("forgotten") for text in world.checker.violations)
 
     play(main())
 
@@ -265,10 +266,10 @@
         for n in range(75):
             await world.submit(job(f"wk-{n:06d}", 3, estimated_run_s=5.0))
             await asyncio.sleep(2.9)
-        begun = [at for leg, at in world.judge.started_at.items() if leg.startswith("wk-100000/")]
+        begun = [at for leg, at in world.checker.started_at.items() if leg.startswith("wk-100000/")]
         assert begun
         assert min(begun) < large + 240.0
-        served = [n for n in range(75) if world.judge.answers.get(f"wk-{n:06d}") is not None]
+        served = [n for n in range(75) if world.checker.statuses.get(f"wk-{n:06d}") is not None]
         assert len(served) == 75
         await world.cancel("wk-100000")
         await world.until_over(200.0)
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -30,4 +30,4 @@
         await world.until_over(120.0)
 
     world = run(scenario)
-    assert world.judge.starts == recorded == 12
+    assert world.checker.start_count == recorded == 12
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -16,13 +16,16 @@
 
 import pytest
 
+from petrelthread import protocol
 from petrelthread.cli.main import main
+from petrelthread.emulator.cloud import RentedMachine
+from petrelthread.emulator.environment import MachineDescription
 from petrelthread.emulator.faults import STATE, FaultKind, LinkFaults, draw_faults
 from petrelthread.emulator.loopback import address_of, reserve_port
-from petrelthread.emulator.loopback_world import LoopbackOptions
+from petrelthread.emulator.loopback_environment import LoopbackOptions
 from petrelthread.emulator.processes import CANCEL_S
 from petrelthread.emulator.soak import SeedResult, shown
-from petrelthread.emulator.worker import Worker
+from petrelthread.emulator.worker import TaskRun, Worker
 from petrelthread.emulator.workload import draw_jobs
 from tests.virtual import play
 from tests.world import World, job
@@ -37,16 +40,20 @@
     async def run() -> list[str]:
         world = World()
         scenario(world)
-        return world.judge.broken
+        return world.checker.violations
 
     broken: list[str] = play(run())
     return broken
 
 
-def start(world: World, leg: str, number: int, zone: str, **machine: Any) -> None:
-    host = {"name_id": f"host-{number:06d}", "roost": zone, "hull": "small", "driftwood": False}
-    world.judge.recorded.add(leg)
-    world.judge.started(leg, host | machine, 0.0)
+def machine_of(number: int, zone: str, spot: bool = False) -> MachineDescription:
+    name = f"host-{number:06d}"
+    return MachineDescription(name, f"{name}:9", "small", zone, spot)
+
+
+def start(world: World, leg: str, number: int, zone: str, spot: bool = False) -> None:
+    world.checker.recorded_tasks.add(leg)
+    world.checker.record_start(leg, machine_of(number, zone, spot), 0.0)
 
 
 # ---- the judge -----------------------------------------------------------------------------------
@@ -61,7 +68,7 @@
         world.jobs["wk-000001"] = job("wk-000001", 3, **{flag: True})
         start(world, "wk-000001/0", 1, "a")
         start(world, "wk-000001/1", 2, "a")
-        assert not world.judge.broken
+        assert not world.checker.violations
         start(world, "wk-000001/2", 3, third_zone)
 
     assert [text.partition(":")[0] for text in judged(scenario)] == ["wrong_place"]
@@ -71,26 +78,24 @@
     def scenario(world: World) -> None:
         world.jobs["wk-000001"] = job("wk-000001", 2, single_zone=True)
         start(world, "wk-000001/0", 1, "a")
-        world.judge.left("wk-000001/0", "host-000001")
+        world.checker.record_leave("wk-000001/0", "host-000001")
         start(world, "wk-000001/0", 2, "b")
 
     assert judged(scenario) == []
 
 
 @pytest.mark.parametrize(
-    ("spec", "machine"),
+    ("spec", "spot"),
     [
-        ({"hulls": ["large"]}, {}),
-        ({"roost": "b"}, {}),
-        ({"driftwood": False}, {"driftwood": True}),
+        ({"hulls": ["large"]}, False),
+        ({"roost": "b"}, False),
+        ({"driftwood": False}, True),
     ],
 )
-def test_a_machine_that_the_job_does_not_allow_is_seen(
-    spec: dict[str, Any], machine: dict[str, Any]
-) -> None:
+def test_a_machine_that_the_job_does_not_allow_is_seen(spec: dict[str, Any], spot: bool) -> None:
     def scenario(world: World) -> None:
         world.jobs["wk-000001"] = job("wk-000001", 1, **spec)
-        start(world, "wk-000001/0", 1, "a", **machine)
+        start(world, "wk-000001/0", 1, "a", spot)
 
     assert [text.partition(":")[0] for text in judged(scenario)] == ["wrong_place"]
 
@@ -99,9 +104,8 @@
     def scenario(world: World) -> None:
         world.jobs["wk-000001"] = job("wk-000001", 1)
         start(world, "wk-000001/0", 1, "a")
-        world.judge.recorded.clear()
-        host = {"name_id": "host-000002", "roost": "a", "hull": "small", "driftwood": False}
-        world.judge.started("wk-000001/0", host, 0.0)
+        world.checker.recorded_tasks.clear()
+        world.checker.record_start("wk-000001/0", machine_of(2, "a"), 0.0)
 
     assert [text.partition(":")[0] for text in judged(scenario)] == ["ran_twice", "no record"]
 
@@ -114,24 +118,24 @@
         world = World()
         world.jobs["wk-000001"] = job("wk-000001", 6)  # all that the team may use
         world.jobs["wk-000002"] = job("wk-000002", 1)
-        host = {"name_id": "host-000001", "roost": "a", "hull": "small", "driftwood": False}
-        hanging = Worker(world, host | {"addr": "host-000001:9"})
-        world.cloud.machines["host-000001"] = {**host, "at": 1e9, "worker": hanging}
-        hanging.task.cancel()  # it does nothing by itself any more
+        machine = machine_of(1, "a")
+        hanging = Worker(world, machine)
+        world.cloud.machines[machine.name] = RentedMachine(machine, 1e9, hanging)
+        hanging.main_task.cancel()  # it does nothing by itself any more
         hanging.up = hanging.frozen = True
-        hanging.answered = asyncio.get_running_loop().time()
+        hanging.lease_renewed_at = asyncio.get_running_loop().time()
         for task in range(6):
             leg = f"wk-000001/{task}"
-            hanging.tasks[leg] = {"try": 1, "status": "running", "at": 0.0}
+            hanging.tasks[leg] = TaskRun(1, protocol.TaskState.RUNNING, 0.0)
             start(world, leg, 1, "a")
         await asyncio.sleep(world.workers.lease_s - 0.5)
         start(world, "wk-000002/0", 2, "a")
-        assert [text.partition(":")[0] for text in world.judge.broken] == ["quota"]
-        world.judge.left("wk-000002/0", "host-000002")
+        assert [text.partition(":")[0] for text in world.checker.violations] == ["quota"]
+        world.checker.record_leave("wk-000002/0", "host-000002")
         await asyncio.sleep(1.0)
         start(world, "wk-000002/0", 2, "a")
-        assert not any(world.judge.on[f"wk-000001/{task}"] for task in range(6))
-        return world.judge.broken[1:]
+        assert not any(world.checker.machines_by_task[f"wk-000001/{task}"] for task in range(6))
+        return world.checker.violations[1:]
 
     assert play(run()) == []
 
@@ -143,11 +147,11 @@
         world = World()
         for job_id, state in (("wk-000001", "done"), ("wk-000002", "running")):
             world.jobs[job_id] = job(job_id, 0)
-            world.judge.told(job_id, 200, {"status": state})
-        world.judge.calm_at = asyncio.get_running_loop().time()
+            world.checker.record_answer(job_id, 200, {"status": state})
+        world.checker.faults_ended_at = asyncio.get_running_loop().time()
         await asyncio.sleep(80.0)
-        world.judge.nothing_forgotten(["wk-000002"])
-        return world.judge.broken
+        world.checker.check_answers(["wk-000002"])
+        return world.checker.violations
 
     (broken,) = play(run())
     assert broken.startswith("forgotten: no answer about wk-000002 for 80 s")
@@ -261,7 +265,7 @@
 
 
 def test_a_broken_rule_is_shown_with_evidence_and_the_command_that_plays_it_again() -> None:
-    result = SeedResult(7, jobs=3, done=2, broken=["quota: red"], evidence=["1.0 something"])
+    result = SeedResult(7, jobs=3, done=2, violations=["quota: red"], evidence=["1.0 something"])
     text = shown(result, LoopbackOptions(seconds=9.0, controllers=5, machines=6))
     assert "seed 7: BROKEN" in text and "quota: red" in text and "1.0 something" in text
     assert "soak --seeds 1 --first-seed 7 --seconds 9 --controllers 5 --machines 6" in text
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -21,8 +21,8 @@
         world = World(seed, made_of)
         await scenario(world)
         await world.calm(80.0)  # late messages get their chance
-        assert not world.judge.broken, world.judge.broken
-        assert world.judge.starts > 0
+        assert not world.checker.violations, world.checker.violations
+        assert world.checker.start_count > 0
         return world
 
     result: World = play(main())
@@ -38,7 +38,7 @@
         await world.until_over(120.0)
 
     world = run(scenario, seed)
-    assert world.judge.starts == sum(3 + n for n in range(6))  # nothing ran in vain
+    assert world.checker.start_count == sum(3 + n for n in range(6))  # nothing ran in vain
     assert not world.cloud.machines  # everything went back
     left = [key for key in world.store.keys if key.startswith(("pt/c/", "pt/x/"))]
     assert not left  # every call to the cloud is settled and struck out
@@ -204,17 +204,17 @@
         world.run_s = 30.0
         await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         await world.running(6)
-        world.store.outage(True)
+        world.store.set_outage(True)
         status, _ = await world.ask("n0", "GET", "/v2/runs/wk-000001")
         assert status == 503
         await asyncio.sleep(18.0)
-        world.store.outage(False)
+        world.store.set_outage(False)
         await world.until_over(60.0)
-        killed = sum(m["worker"].killed_by_lease for m in world.cloud.machines.values())
+        killed = sum(m.worker.killed_by_lease for m in world.cloud.machines.values())
         assert not killed
 
     world = run(scenario)
-    assert world.judge.starts == 6
+    assert world.checker.start_count == 6
 
 
 def test_leader_refused_by_the_state_service_alone() -> None:
@@ -275,7 +275,7 @@
         await world.until_over(150.0)
 
     world = run(scenario)
-    assert world.judge.answers["wk-000001"] == "aborted"
+    assert world.checker.statuses["wk-000001"] == "aborted"
 
 
 def test_silent_machine_holds_only_its_own_tasks() -> None:
@@ -366,9 +366,9 @@
         for job_id, tasks in jobs
         for task in tasks
     }
-    assert recorded == set(world.judge.started_at)
+    assert recorded == set(world.checker.started_at)
     charters = {key[len("pt/c/") :] for key, _ in world.store.puts if key.startswith("pt/c/")}
-    assert set(world.cloud.charters) <= charters
+    assert set(world.cloud.granted) <= charters
 
 
 def test_tasks_made_durable_by_another_leader_count_once() -> None:
@@ -381,7 +381,7 @@
         node = world.nodes[await world.led()]
         found = node.cluster_state.jobs_by_id["wk-000001"]
         node.cluster_state.on_key("d/1", [["wk-000001", [0, 1]]], 1)
-        world.judge.completed |= {"wk-000001/0", "wk-000001/1"}
+        world.checker.completed_tasks |= {"wk-000001/0", "wk-000001/1"}
         node.fleet.finished_tasks[found.index] = {0, 1}
         node.scheduler.wake.set()
         await asyncio.sleep(1.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -30,7 +30,7 @@
     """All machines up, and most of them with two tasks."""
     world.run_s = 20.0
     await load.add(90, 100)
-    while sum(m["worker"].up for m in world.cloud.machines.values()) < MACHINES:
+    while sum(m.worker.up for m in world.cloud.machines.values()) < MACHINES:
         await asyncio.sleep(0.5)
         assert now() < 200.0, "the fleet never came up"
     await world.running(MACHINES)
@@ -45,7 +45,7 @@
         if world.leader is None:
             continue
         fleet = world.nodes[world.leader].fleet
-        up = [n for n, m in world.cloud.machines.items() if m["worker"].up and n not in but]
+        up = [n for n, m in world.cloud.machines.items() if m.worker.up and n not in but]
         known = [fleet.find(name) for name in up]
         if all(m is not None and m.acknowledged_epoch == fleet.epoch for m in known):
             return
@@ -58,11 +58,11 @@
         await at_work(world, load)
         await scenario(world, load)
         await world.until_over(400.0)
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await world.poll()
-        assert not world.judge.broken, world.judge.broken
+        assert not world.checker.violations, world.checker.violations
         first = {job_id: 1e9 for job_id in world.jobs}
-        for leg, at in world.judge.started_at.items():
+        for leg, at in world.checker.started_at.items():
             job_id = leg.rpartition("/")[0]
             first[job_id] = min(first[job_id], at)
         late = {j: at - load.asked[j] for j, at in first.items() if at - load.asked[j] > BEGUN_S}
@@ -95,7 +95,7 @@
 
     world = run(scenario, made_of)
     # Nothing was lost but what the wait for answers cost: no lease ran out.
-    assert sum(m["worker"].killed_by_lease for m in world.cloud.machines.values()) == 0
+    assert sum(m.worker.killed_by_lease for m in world.cloud.machines.values()) == 0
 
 
 def test_a_spot_wave_during_a_take_over() -> None:
@@ -106,8 +106,8 @@
             if at == 100:
                 world.crash(old)
             machine = world.cloud.machines.pop(name)
-            world.cloud.used[machine["driftwood"]] -= 1
-            machine["worker"].kill()
+            world.cloud.used[machine.description.spot] -= 1
+            machine.worker.kill()
             if at % 20 == 0:
                 await asyncio.sleep(0.5)
         world.boot(old)
@@ -119,7 +119,7 @@
 def test_a_zone_is_cut_off_for_longer_than_a_lease() -> None:
     async def scenario(world: World, load: Load) -> None:
         inside = {n for n in world.made_of.nodes if world.made_of.zone_of(n) == "c"}
-        inside |= {n for n, m in world.cloud.machines.items() if m["roost"] == "c"}
+        inside |= {n for n, m in world.cloud.machines.items() if m.description.zone == "c"}
         outside = {"state", "cloud", "user", *world.made_of.nodes, *world.cloud.machines} - inside
         pairs = [(a, b) for a in inside for b in outside if not a[:5] == b[:5] == "host-"]
         cuts = {frozenset(pair) for pair in pairs}
@@ -181,8 +181,8 @@
             looked.append(machine.index)
             return attempts(machine)
 
-        worker = next(m["worker"] for m in world.cloud.machines.values() if m["worker"].tasks)
-        body = orjson.dumps(worker.report())
+        worker = next(m.worker for m in world.cloud.machines.values() if m.worker.tasks)
+        body = orjson.dumps(worker.heartbeat())
         leader.fleet.attempts_on = counted  # type: ignore[method-assign]
         await leader.handle("POST", "/checkin", body)
         assert len(set(looked)) == 1
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -202,7 +202,7 @@
         lost = ("/hosts", "/do")
         world.net.fate = lambda source, addr, method, target, body: (0.0, target in lost)
         await world.submit(job("wk-000001", 6))
-        while not any(world.judge.on.values()):
+        while not any(world.checker.machines_by_task.values()):
             await asyncio.sleep(0.5)
             await look(world, leader)
         world.net.cut |= {frozenset((m, n)) for m in world.cloud.machines for n in world.nodes}
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -147,10 +147,10 @@
     """The state service refuses the leader alone, then is down for longer than ``cancel_s``."""
     world.store.refused.add(leader)
     await asyncio.sleep(world.random.uniform(0.5, 8.0))
-    world.store.outage(True)
+    world.store.set_outage(True)
     world.store.refused.clear()
     await asyncio.sleep(world.workers.cancel_s + world.random.uniform(5.0, 20.0))
-    world.store.outage(False)
+    world.store.set_outage(False)
 
 
 async def leader_ends(world: World, held: HeldStarts, leader: str) -> None:
@@ -264,8 +264,8 @@
             assert lead["epoch"] == before + 1
         assert node.election.epoch == before - 2  # records are still named after the election
         await asyncio.sleep(3.0)
-        machines = [machine["worker"] for machine in world.cloud.machines.values()]
-        assert {worker.token for worker in machines if worker.up} == {before + 1}
+        machines = [machine.worker for machine in world.cloud.machines.values()]
+        assert {worker.fencing_token for worker in machines if worker.up} == {before + 1}
         world.crash(leader)
         new = world.nodes[await world.led()].election
         assert new.epoch > before + 1
@@ -331,7 +331,8 @@
         await asyncio.sleep(raised_after_s)
         sent_at = now()
         assert await node.election.raise_fencing_token()
-        while sum(leg.startswith("wk-000003") for leg, on in world.judge.on.items() if on) < 2:
+        running = world.checker.machines_by_task
+        while sum(leg.startswith("wk-000003") for leg, on in running.items() if on) < 2:
             await asyncio.sleep(0.1)
             assert now() < sent_at + 2.75  # 1.5 s on its way, 1 s to fetch the image
         assert not node.fleet.unacknowledged_starts.count()
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -74,16 +74,16 @@
                 confirmed += 1
             await asyncio.sleep(0.1)
         assert confirmed
-        world.store.outage(True)
+        world.store.set_outage(True)
         if world.net.fate is not None:
             world.net.fate = None
         await asyncio.sleep(12.0)
         world.store.refused.clear()
         for _ in range(60):
             await asyncio.sleep(1.0)
-            world.judge.cancels()
-            assert not world.judge.broken, world.judge.broken
-        world.store.outage(False)
+            world.checker.check_cancellations()
+            assert not world.checker.violations, world.checker.violations
+        world.store.set_outage(False)
         await asyncio.sleep(5.0)
         await cancelled_at(world, "wk-000002", list(NODES))
         await world.until_over(60.0)
@@ -100,7 +100,7 @@
         await world.running(4)
         leader = await world.led()
         election = world.nodes[leader].election
-        world.store.outage(True)
+        world.store.set_outage(True)
         await asyncio.sleep(13.0)  # longer than a watch stays open
         assert election.role is Role.LEASE_GRACE
 
@@ -109,7 +109,7 @@
             return (0.0, lost)
 
         world.net.fate = fate
-        world.store.outage(False)
+        world.store.set_outage(False)
         assert await cancelled_at(world, "wk-000001", others(leader))
         for _ in range(20):
             await asyncio.sleep(0.1)
@@ -133,13 +133,13 @@
         world.net.deaf |= deaf  # so that the halts sent at once are lost
         assert await cancelled_at(world, "wk-000001", list(NODES))
         await asyncio.sleep(0.5)
-        world.store.outage(True)
+        world.store.set_outage(True)
         await asyncio.sleep(4.0)
         assert world.nodes[leader].election.role is Role.LEASE_GRACE
         world.net.deaf -= deaf
         await asyncio.sleep(4.0)
-        assert not any(world.judge.on.values())
-        world.store.outage(False)
+        assert not any(world.checker.machines_by_task.values())
+        world.store.set_outage(False)
         await world.until_over(60.0)
 
     run(scenario)
@@ -167,7 +167,7 @@
             status, answer = await world.ask(node, method, path, body)
         except NoResponseError:
             return
-        world.judge.told(job_id, status, answer)
+        world.checker.record_answer(job_id, status, answer)
         assert status not in (400, 422), (job_id, node, answer)
 
     asks = [one(node, "GET", f"/v2/runs/{job_id}", None) for node in world.nodes]
@@ -202,7 +202,7 @@
             for _ in range(40):
                 await asyncio.sleep(0.5)
                 await look_closely(world, job_id)
-                if world.judge.answers.get(job_id) in ("done", "aborted"):
+                if world.checker.statuses.get(job_id) in ("done", "aborted"):
                     await look_closely(world, job_id)
                     return
 
@@ -222,7 +222,7 @@
                     await asyncio.sleep(0.5)
         await asyncio.gather(*users)
         world.net.fate = None
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await world.until_over(150.0)
 
     run(scenario, seed)
@@ -251,7 +251,7 @@
             await cancelled_at(world, f"wk-{n:06d}", list(world.nodes)) if n % 2 else None
             await world.poll()
         world.net.fate = None
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await world.until_over(200.0)
 
     run(scenario, seed)
@@ -275,7 +275,7 @@
         world.crash(first)
         await world.led()
         world.boot(first)
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await world.until_over(120.0)
 
     run(scenario)
@@ -298,7 +298,7 @@
         await asyncio.sleep(8.0)  # its machines are up meanwhile
         world.net.fate = None
         await world.until_over(60.0)
-        assert not [leg for leg in world.judge.started_at if leg.startswith("wk-000001/")]
+        assert not [leg for leg in world.checker.started_at if leg.startswith("wk-000001/")]
 
     run(scenario)
 
@@ -322,7 +322,7 @@
         legs = await world.running(12)  # both limits of 12 cores
         first = {leg.rpartition("/")[0] for leg in legs}
         names = {world.where(leg).name for leg in legs[:5]}
-        workers = [world.cloud.machines[name]["worker"] for name in names]
+        workers = [world.cloud.machines[name].worker for name in names]
         if lost == "cut":
             world.net.cut |= {frozenset((name, node)) for name in names for node in NODES}
         elif lost == "deaf":
@@ -344,16 +344,16 @@
             world.boot(leader)
         for _ in range(16):
             await asyncio.sleep(0.5)
-            world.judge.cancels()
+            world.checker.check_cancellations()
         for worker in workers:
             worker.frozen = False
         world.net.deaf.clear()
         world.net.cut.clear()
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         for _ in range(40):
             await asyncio.sleep(1.0)
             await world.poll()
-            world.judge.cancels()
+            world.checker.check_cancellations()
         for job_id in world.jobs:
             await world.cancel(job_id)
         await world.until_over(100.0)
@@ -396,9 +396,10 @@
                 await asyncio.sleep(0.4)
         await cancelling
         await asyncio.sleep(12.0)
-        left = {leg.rpartition("/")[0] for leg, machines in world.judge.on.items() if machines}
-        assert not left & set(world.judge.cancelled)
-        world.judge.calm_at = now()
+        running = world.checker.machines_by_task
+        left = {leg.rpartition("/")[0] for leg, machines in running.items() if machines}
+        assert not left & set(world.checker.cancelled_at)
+        world.checker.faults_ended_at = now()
         await world.until_over(150.0)
 
     run(scenario, seed)
@@ -430,7 +431,7 @@
             await asyncio.sleep(world.random.choice([0.1, 1.5]))
             world.boot(leader)
         world.net.fate = None
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await world.until_over(200.0)
 
     run(scenario, seed, replace(SMALL, hulls=({**SMALL.hulls[0], "startup_s": 0.3},)))
@@ -475,7 +476,7 @@
             world.boot(leader)
             await asyncio.sleep(world.random.uniform(1.0, 6.0))
         world.net.fate = None
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await world.until_over(200.0)
 
     run(scenario, seed)
@@ -524,7 +525,7 @@
         await world.running(6)
         await asyncio.sleep(6.0)
         names = set(world.cloud.machines)
-        workers = [m["worker"] for m in world.cloud.machines.values()]
+        workers = [m.worker for m in world.cloud.machines.values()]
         world.net.mute |= names
         await asyncio.sleep(2.0)
         leader = await world.led()
@@ -533,7 +534,7 @@
             world.crash(leader)
         else:
             world.net.cut |= cuts
-        while not any(worker.session > 1 for worker in workers):
+        while not any(worker.incarnation > 1 for worker in workers):
             await asyncio.sleep(0.1)
         await asyncio.sleep(after_s)
         for n in range(2, 5):
@@ -542,12 +543,12 @@
             await asyncio.sleep(1.0)
         for _ in range(40):
             await asyncio.sleep(0.5)
-            assert not world.judge.broken, world.judge.broken
+            assert not world.checker.violations, world.checker.violations
         if change == "crash":
             world.boot(leader)
         world.net.cut.clear()
         world.net.mute.clear()
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await world.until_over(200.0)
 
     run(scenario)
@@ -569,7 +570,7 @@
             spec = job(job_id, 1 + number % 2, team=("red", "blue", "guest")[number % 3])
             await world.submit(spec)
             last = f"{job_id}/{spec['legs'] - 1}"
-            while last not in world.judge.completed:
+            while last not in world.checker.completed_tasks:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(world.random.uniform(0.0, 0.6))
             await asyncio.gather(
@@ -600,7 +601,7 @@
         for n in range(10):
             await asyncio.sleep(world.random.uniform(2.0, 9.0))
             outage = inside_an_outage and n % 3 == 1
-            world.store.outage(outage)
+            world.store.set_outage(outage)
             name = world.leader or world.random.choice(NODES)
             if n % 4 == 3 and not outage:
                 await world.nodes[name].election.resign("a test asks for it", 4.0)
@@ -609,8 +610,8 @@
                 await asyncio.sleep(world.random.choice([0.05, 0.5, 4.0]))
                 world.boot(name)
             await world.poll()
-        world.store.outage(False)
-        world.judge.calm_at = now()
+        world.store.set_outage(False)
+        world.checker.faults_ended_at = now()
         await world.until_over(150.0)
 
     run(scenario, seed)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -45,7 +45,7 @@
         )
         await world.submit(job("wk-000003", 1, team="guest", job_class="tiny", estimated_run_s=0.0))
         await world.until_over(120.0)
-        assert set(world.judge.answers.values()) == {"done"}
+        assert set(world.checker.statuses.values()) == {"done"}
 
     run(scenario)
 
@@ -70,7 +70,7 @@
             estimated_run_s=20.0,
         )
         await world.submit(wide)
-        while "wk-000003/0" not in world.judge.started_at:
+        while "wk-000003/0" not in world.checker.started_at:
             await asyncio.sleep(1.0)
             assert now() < asked + 240.0
         for n in (1, 2, 3):
@@ -98,18 +98,18 @@
         await asyncio.sleep(10.0)
         node = world.nodes[await world.led()]
         assert tries_of(world, "wk-000001") <= begun + 2  # the new leader knows
-        tries = [leg for leg in world.judge.started_at if leg.startswith("wk-000001/")]
+        tries = [leg for leg in world.checker.started_at if leg.startswith("wk-000001/")]
         assert len(tries) < 12  # a full start, then one at a time
         said = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
         assert "fails everywhere" in said, said
         await asyncio.sleep(40.0)
         good = [f"wk-{n:06d}" for n in range(3, 7)]
         await world.poll()
-        assert {world.judge.answers[j] for j in good} == {"done"}
+        assert {world.checker.statuses[j] for j in good} == {"done"}
         assert world.cloud.rented <= 14  # none was given back as faulty
-        starts = world.judge.starts
+        starts = world.checker.start_count
         await asyncio.sleep(60.0)
-        assert world.judge.starts - starts <= 6  # tried at a growing distance
+        assert world.checker.start_count - starts <= 6  # tried at a growing distance
         for broken in sorted(world.mistaken):
             assert await world.cancel(broken) == "aborted"
         await world.until_over(60.0)
@@ -127,13 +127,13 @@
                 job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
             )
         await world.running(4)
-        faulty: Worker = next(m["worker"] for m in world.cloud.machines.values())
+        faulty: Worker = next(m.worker for m in world.cloud.machines.values())
         faulty.faulty = True
         await asyncio.sleep(25.0)
         assert faulty.dead  # found out and given back
         await asyncio.sleep(30.0)
         await world.poll()
-        assert [world.judge.answers[f"wk-{n:06d}"] for n in range(2, 5)] == ["done"] * 3
+        assert [world.checker.statuses[f"wk-{n:06d}"] for n in range(2, 5)] == ["done"] * 3
         await world.cancel("wk-000001")
         await world.until_over(60.0)
 
@@ -149,7 +149,7 @@
         node = world.nodes[await world.led()]
         assert node.cluster_state.jobs_by_id["wk-000001"].done_count == 25
         assert (
-            world.judge.answers.get("wk-000002")
+            world.checker.statuses.get("wk-000002")
             or node.cluster_state.jobs_by_id["wk-000002"].final_status == "done"
         )
         assert "all that waits has failed before" in explain_waiting(
@@ -206,9 +206,9 @@
         await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
         machines = {world.where(leg).name for leg in await world.running(6)}
         old = await world.led()
-        world.store.outage(True)
+        world.store.set_outage(True)
         await world.stand_still(old, 14.0)
-        world.store.outage(False)
+        world.store.set_outage(False)
         await asyncio.sleep(8.0)
         assert machines <= set(world.cloud.machines)
         await world.until_over(200.0)
@@ -314,13 +314,13 @@
         node.scheduler.claim_builder.spare_writes = lambda now: 0  # none to strike them out with
         await world.submit(job("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
-        old = set(world.cloud.asked)
+        old = set(world.cloud.requests)
         assert len(old) > 3
         await asyncio.sleep(25.0)
         world.cloud.capacity = {True: 6, False: 6}
         world.crash(node.settings.host_name)
         await asyncio.sleep(60.0)
-        assert not old & set(world.cloud.charters)
+        assert not old & set(world.cloud.granted)
         await world.until_over(60.0)
 
     run(scenario)
@@ -375,9 +375,9 @@
         await asyncio.sleep(for_s)
         world.store.refused.discard(node)
     elif kind == "outage":
-        world.store.outage(True)
+        world.store.set_outage(True)
         await asyncio.sleep(min(for_s, 12.0))
-        world.store.outage(False)
+        world.store.set_outage(False)
     elif kind in ("no workers", "alone"):
         cuts = {frozenset((node, m)) for m in (machines if kind == "no workers" else others)}
         world.net.cut |= cuts
@@ -399,7 +399,7 @@
         world.late_boots_s = 0.0
     elif machines:
         name = chance.choice(sorted(machines))
-        worker: Worker = world.cloud.machines[name]["worker"]
+        worker: Worker = world.cloud.machines[name].worker
         if kind == "deaf":
             world.net.deaf.add(name)
             await asyncio.sleep(for_s)
@@ -455,7 +455,7 @@
         world.jobs["wk-000001"] = job("wk-000001", 2)
         status, answer = await world.ask("n0", "POST", "/v2/runs", world.jobs["wk-000001"])
         assert status == 201
-        world.judge.told("wk-000001", status, answer)
+        world.checker.record_answer("wk-000001", status, answer)
         await world.until_over(60.0)
 
     run(scenario)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,10 +23,10 @@
         await world.running(10)
         asked = asyncio.get_running_loop().time()
         await world.submit(job("wk-000003", 2, team="blue", job_class="rush", priority="high"))
-        while "wk-000003/1" not in world.judge.started_at:
+        while "wk-000003/1" not in world.checker.started_at:
             await asyncio.sleep(0.1)
-        assert world.judge.started_at["wk-000003/1"] - asked < 6.0
-        assert not world.judge.broken
+        assert world.checker.started_at["wk-000003/1"] - asked < 6.0
+        assert not world.checker.violations
 
     play(scenario())
 
@@ -44,7 +44,7 @@
         await world.running(4)
         await world.submit(job("wk-000003", 2, job_class="rush", priority="high"))
         await world.until_over(200.0)
-        assert world.judge.starts == 6
-        assert not world.judge.broken
+        assert world.checker.start_count == 6
+        assert not world.checker.violations
 
     play(scenario())
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -39,9 +39,9 @@
     return [
         f"{job_id}/{n}"
         for job_id, spec in world.jobs.items()
-        if spec["shape"] == "service" and job_id not in world.judge.cancelled
+        if spec["shape"] == "service" and job_id not in world.checker.cancelled_at
         for n in range(spec["legs"])
-        if len(world.judge.on.get(f"{job_id}/{n}", ())) != 1
+        if len(world.checker.machines_by_task.get(f"{job_id}/{n}", ())) != 1
     ]
 
 
@@ -58,12 +58,12 @@
     """Called off, they are gone, and not before."""
     await world.poll()
     for job_id, spec in world.jobs.items():
-        if spec["shape"] == "service" and job_id not in world.judge.cancelled:
-            assert world.judge.answers[job_id] not in ("done", "aborted")
+        if spec["shape"] == "service" and job_id not in world.checker.cancelled_at:
+            assert world.checker.statuses[job_id] not in ("done", "aborted")
             await world.cancel(job_id)
     await asyncio.sleep(12.0)
-    left = [leg for leg, machines in world.judge.on.items() if machines]
-    assert not [leg for leg in left if leg.rpartition("/")[0] in world.judge.cancelled]
+    left = [leg for leg, machines in world.checker.machines_by_task.items() if machines]
+    assert not [leg for leg in left if leg.rpartition("/")[0] in world.checker.cancelled_at]
     await world.until_over(60.0)
 
 
@@ -81,11 +81,11 @@
             0,
             3,
         )
-        assert sum(leg.startswith("wk-000001") for leg in world.judge.started_at) == 3
+        assert sum(leg.startswith("wk-000001") for leg in world.checker.started_at) == 3
         await end(world)
 
     world = run(scenario)
-    assert world.judge.starts == 3 + 8
+    assert world.checker.start_count == 3 + 8
 
 
 def test_a_service_beyond_its_teams_limit_can_never_run() -> None:
@@ -111,8 +111,8 @@
         frozenset((worker.name, node)) for node in NODES
     ),
     "machine hangs": lambda world, worker, leg: setattr(worker, "frozen", True),
-    "replica fails": lambda world, worker, leg: worker._end(leg, worker.tasks[leg], "error"),
-    "replica ends": lambda world, worker, leg: worker._end(leg, worker.tasks[leg], "done"),
+    "replica fails": lambda world, worker, leg: worker.end_task(leg, worker.tasks[leg], "error"),
+    "replica ends": lambda world, worker, leg: worker.end_task(leg, worker.tasks[leg], "done"),
 }
 
 
@@ -127,9 +127,9 @@
         await served(world, 20.0)
         await asyncio.sleep(10.0)
         leg = "wk-000001/0"
-        while not all(f"wk-000002/{n}" in world.judge.completed for n in range(30)):
+        while not all(f"wk-000002/{n}" in world.checker.completed_tasks for n in range(30)):
             await asyncio.sleep(0.5)
-        before = world.judge.starts
+        before = world.checker.start_count
         LOSSES[loss](world, world.where(leg), leg)
         if change in ("leader ends", "all end"):
             names = [await world.led()] if change == "leader ends" else list(NODES)
@@ -139,15 +139,16 @@
             for name in names:
                 world.boot(name)
         elif change == "outage":
-            world.store.outage(True)
+            world.store.set_outage(True)
             await asyncio.sleep(8.0)
-            world.store.outage(False)
+            world.store.set_outage(False)
         lost_at = now()
-        while world.judge.starts == before:  # cut or hanging it is still on its machine for a while
+        # Cut or hanging it is still on its machine for a while.
+        while world.checker.start_count == before:
             await asyncio.sleep(0.1)
             assert now() < lost_at + 40.0
         await served(world, 30.0)
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await asyncio.sleep(20.0)
         assert not missing(world)
         await end(world)
@@ -166,7 +167,7 @@
             crew = "blue" if n == 2 else "guest"
             await world.submit(job(f"wk-{n:06d}", 40, team=crew, estimated_run_s=40.0))
         await asyncio.sleep(20.0)
-        ordinary = [m for m in world.cloud.machines.values() if not m["driftwood"]]
+        ordinary = [m for m in world.cloud.machines.values() if not m.description.spot]
         assert len(ordinary) == 3  # all there are; what the replicas leave free runs other work
         world.late_boots_s = 60.0
         world.where("wk-000001/0").kill()
@@ -188,7 +189,7 @@
         await served(world, 30.0)
         zones: dict[str, int] = {}
         for n in range(4):
-            zone = world.where(f"wk-000001/{n}").machine["roost"]
+            zone = world.where(f"wk-000001/{n}").machine.zone
             zones[zone] = zones.get(zone, 0) + 1
         assert max(zones.values()) <= 2
         await world.submit(service("wk-000003", 1, team="blue"))
@@ -212,7 +213,7 @@
         sick.faulty = True
         for leg, entry in list(sick.tasks.items()):
             if leg.startswith("wk-000001"):
-                sick._end(leg, entry, "error")
+                sick.end_task(leg, entry, "error")
         await asyncio.sleep(0.3)
         assert await served(world, 30.0) < 15.0
         await asyncio.sleep(10.0)
@@ -220,7 +221,7 @@
         assert len(machines) > 2
         for worker in machines:  # all at once, so that none is left to speak for the job
             for leg, entry in list(worker.tasks.items()):
-                worker._end(leg, entry, "error")
+                worker.end_task(leg, entry, "error")
         await asyncio.sleep(0.3)
         assert await served(world, 30.0) < 6.0
         await end(world)
@@ -247,9 +248,9 @@
             await world.poll()
         await world.cancel("wk-000002")
         await asyncio.gather(*ends)
-        for worker in [m["worker"] for m in world.cloud.machines.values()]:
+        for worker in [m.worker for m in world.cloud.machines.values()]:
             worker.faulty = False
-        world.judge.calm_at = now()
+        world.checker.faults_ended_at = now()
         await served(world, 90.0)
         await asyncio.sleep(15.0)
         await served(world, 30.0)
@@ -298,7 +299,7 @@
             await world.submit(job(f"wk-{n + 10:06d}", 4, team=crew, estimated_run_s=30.0))
         await served(world, 30.0)
         await asyncio.sleep(5.0)
-        starts = {leg: at for leg, at in world.judge.started_at.items() if leg < "wk-000010"}
+        starts = {leg: at for leg, at in world.checker.started_at.items() if leg < "wk-000010"}
         machines = {world.where(leg).name for leg in starts}
         leader = await world.led()
         world.net.cut |= {frozenset((leader, name)) for name in world.cloud.machines}
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -33,7 +33,8 @@
             await asyncio.sleep(0.05)
         elected = now()
         while not all(
-            any(machine != lost.name for machine in world.judge.on.get(leg, ())) for leg in gone
+            any(name != lost.name for name in world.checker.machines_by_task.get(leg, ()))
+            for leg in gone
         ):
             await asyncio.sleep(0.05)
             assert now() - elected < RESTARTED_S
@@ -64,7 +65,7 @@
         await world.until_over(300.0)
 
     world = run(scenario, seed)
-    assert world.judge.starts == 6
+    assert world.checker.start_count == 6
 
 
 def test_silence_proves_less_while_reports_are_turned_away() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -18,11 +18,11 @@
 
 from petrelthread.controller import Controller
 from petrelthread.emulator.cloud import Cloud
-from petrelthread.emulator.judge import Judge
+from petrelthread.emulator.environment import RequestHandler
+from petrelthread.emulator.invariant_checker import InvariantChecker
 from petrelthread.emulator.state_service import StateService
 from petrelthread.emulator.worker import Worker
 from petrelthread.emulator.workload import job_spec
-from petrelthread.emulator.world import Handler
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.settings import Settings, parse
 from tests.virtual import PROCESS, VirtualLoop
@@ -136,7 +136,7 @@
 class Net:
     def __init__(self, world: World) -> None:
         self.world = world
-        self.hosts: dict[str, Handler] = {}
+        self.hosts: dict[str, RequestHandler] = {}
         self.cut: set[frozenset[str]] = set()
         self.fate: Fate | None = None
         self.deaf: set[str] = set()  # what they send arrives; no answer or command reaches them
@@ -149,7 +149,7 @@
     def new_address(self, name: str) -> str:
         return f"{name}:9"
 
-    def attach(self, address: str, name: str, handler: Handler) -> None:
+    def attach(self, address: str, name: str, handler: RequestHandler) -> None:
         self.hosts[address] = handler
 
     def detach(self, address: str) -> None:
@@ -230,9 +230,9 @@
         self.mistaken: set[str] = set()  # jobs that fail on every machine
         self.bad_tasks: set[str] = set()  # and single tasks
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.judge = Judge(self)
+        self.checker = InvariantChecker(self)
         self.net = Net(self)
-        self.store = StateService(cluster.state.txn_ops, self.judge.on_put)
+        self.store = StateService(cluster.state.txn_ops, self.checker.record_put)
         self.cloud = Cloud(self)
         self.net.hosts["state:1"] = self.store.handle
         self.net.hosts["cloud:1"] = self.cloud.handle
@@ -328,7 +328,7 @@
                     status, answer = await self.ask(node, "POST", "/v2/runs", spec)
                 except NoResponseError:
                     continue
-                self.judge.told(spec["name_id"], status, answer)
+                self.checker.record_answer(spec["name_id"], status, answer)
                 if status in (200, 201):
                     return
             await asyncio.sleep(1.0)
@@ -344,16 +344,16 @@
 
     async def try_to_cancel(self, job_id: str, node: str) -> str | None:
         """Ask one node once. The job's final state if it says one."""
-        self.judge.asked_to_cancel.add(job_id)
+        self.checker.cancel_requested.add(job_id)
         try:
             status, answer = await self.ask(node, "POST", f"/v2/runs/{job_id}/withdraw")
         except NoResponseError:
             return None
-        self.judge.told(job_id, status, answer)
+        self.checker.record_answer(job_id, status, answer)
         if status != 200:
             return None
         if answer["status"] == "aborted":
-            self.judge.cancelled.setdefault(job_id, asyncio.get_running_loop().time())
+            self.checker.cancelled_at.setdefault(job_id, asyncio.get_running_loop().time())
         return str(answer["status"])
 
     async def poll(self) -> None:
@@ -363,40 +363,40 @@
                     status, answer = await self.ask(node, "GET", f"/v2/runs/{job_id}")
                 except NoResponseError:
                     continue
-                self.judge.told(job_id, status, answer)
-        self.judge.nothing_forgotten()
-        self.judge.nobody_left_waiting()
+                self.checker.record_answer(job_id, status, answer)
+        self.checker.check_answers()
+        self.checker.check_waiting_jobs()
 
     async def until_over(self, within_s: float) -> None:
         """Poll every job on every node until all have reached their final state."""
         end = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < end:
             await self.poll()
-            self.judge.cancels()
-            assert not self.judge.broken, self.judge.broken
-            if all(self.judge.answers.get(j) in ("done", "aborted") for j in self.jobs):
+            self.checker.check_cancellations()
+            assert not self.checker.violations, self.checker.violations
+            if all(self.checker.statuses.get(j) in ("done", "aborted") for j in self.jobs):
                 return
             await asyncio.sleep(1.0)
-        states = {j: self.judge.answers.get(j) for j in self.jobs}
+        states = {j: self.checker.statuses.get(j) for j in self.jobs}
         raise AssertionError(f"not over after {within_s} s: {states}")
 
     async def calm(self, for_s: float) -> None:
         """No trouble any more, while users go on asking every 5 s."""
-        self.judge.calm_at = asyncio.get_running_loop().time()
+        self.checker.faults_ended_at = asyncio.get_running_loop().time()
         for _ in range(int(for_s / 5.0)):
             await asyncio.sleep(5.0)
             await self.poll()
-            self.judge.cancels()
+            self.checker.check_cancellations()
 
     async def running(self, count: int) -> list[str]:
         """Wait until so many tasks run; their names."""
         while True:
-            now_on = [leg for leg, machines in self.judge.on.items() if machines]
+            now_on = [leg for leg, machines in self.checker.machines_by_task.items() if machines]
             if len(now_on) >= count:
                 return now_on
             await asyncio.sleep(0.1)
 
     def where(self, leg: str) -> Worker:
-        name = next(iter(self.judge.on[leg]))
-        worker: Worker = self.cloud.machines[name]["worker"]
+        name = next(iter(self.checker.machines_by_task[leg]))
+        worker: Worker = self.cloud.machines[name].worker
         return worker
