--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -1,17 +1,32 @@
-"""One machine and the state machine of its health."""
+"""One machine as the leader knows it, and the state machine of its health."""
 
 from __future__ import annotations
 
+from dataclasses import InitVar, dataclass, field
 from enum import Enum
+from typing import TYPE_CHECKING
+
+NEVER = float("-inf")
 
 
 class Health(Enum):
-    BOOTING = "booting"  # rented or listed; its worker has not reported yet
+    """Where a machine is in its life; the values are shown by the administration API.
+
+    The usual way is BOOTING, UP, TERMINATING, TERMINATED. ``Machine.transition`` makes every
+    change and permits only the steps in ``TRANSITIONS``:
+
+    - UP: ``HeartbeatReconciler``, on the first heartbeat, or on an answered one afterwards.
+    - DRAINING: ``HeartbeatReconciler``, when the heartbeat carries a spot termination notice.
+    - UNRESPONSIVE: ``FailureDetector`` only.
+    - TERMINATING, TERMINATED: the provisioner, when a return is recorded and when it is confirmed.
+    """
+
+    BOOTING = "booting"  # rented or listed by the cloud; its worker has not reported yet
     UP = "up"
-    DRAINING = "draining"  # to be taken by the cloud, or to be returned: nothing new goes there
-    UNRESPONSIVE = "silent"  # no report for too long; its tasks may still run
-    TERMINATING = "returning"  # a return is recorded or sent, not confirmed
-    TERMINATED = "gone"  # the cloud has confirmed it
+    DRAINING = "draining"  # about to be reclaimed or returned: receives no new work
+    UNRESPONSIVE = "silent"  # no heartbeat for too long; its tasks may still run
+    TERMINATING = "returning"  # its return is recorded or sent, but not confirmed
+    TERMINATED = "gone"  # the cloud has confirmed the return
 
 
 TRANSITIONS = {
@@ -24,7 +39,8 @@
 }
 
 
-# What decides whether, and for what, a machine may be given work: see ``placement.free_room``.
+# Names of the attributes of Machine that decide whether, and for what, it may be given work. A
+# change of one of them makes the scheduler look at the machine again.
 SCHEDULING_FIELDS = frozenset(
     {
         "acknowledged_epoch",
@@ -40,107 +56,92 @@
 )
 
 
+@dataclass(slots=True, eq=False)
 class Machine:
-    """What the leader knows of one machine. A change of a deciding field marks it as changed."""
-
-    __slots__ = (
-        "_changed",
-        "acknowledged_epoch",
-        "address",
-        "answered_epoch",
-        "commands_in_flight",
-        "cordoned",
-        "failed_probes",
-        "failed_reads",
-        "health",
-        "highest_token",
-        "idle_since",
-        "ignored_starts",
-        "ignored_starts_since",
-        "images",
-        "incarnation",
-        "incarnation_seen_at",
-        "index",
-        "last_message_at",
-        "last_read_at",
-        "last_seen_at",
-        "last_unanswered_at",
-        "lease_losses",
-        "lease_lost_at",
-        "lease_renewed_at",
-        "listed",
-        "machine_type",
-        "missing_from_lists",
-        "name",
-        "partition_reason",
-        "probing",
-        "quarantine_reason",
-        "registered_at",
-        "renewed_without_gap_since",
-        "rented_at",
-        "scale_out_key",
-        "sequence_number",
-        "spot",
-        "spot_notice_at",
-        "spot_notice_s",
-        "zone",
-    )
-
-    def __init__(self, index: int, name: str, now: float, changed: set[int] | None = None) -> None:
-        """``changed``: where the machine's index is added whenever a deciding field changes."""
-        self._changed: set[int] = set() if changed is None else changed
-        self.index = index
-        self._changed.add(index)
-        self.name = name
-        self.health = Health.BOOTING
-        self.address = ""
-        self.machine_type = -1
-        self.zone = -1
-        self.spot = False
-        self.incarnation = 0
-        self.incarnation_seen_at = now  # when it first showed: the session had begun by then
-        self.sequence_number = -1
-        self.highest_token = 0
-        # The epoch in which the worker last showed that it knows that epoch: it has heard us, and
-        # takes nothing from an older leader any more.
-        self.acknowledged_epoch = 0
-        self.answered_epoch = 0  # in which a report of it was last answered
-        self.last_read_at = float("-inf")  # when the leader last tried to read it by itself
-        self.failed_reads = 0  # how often in a row it did not answer that
-        self.last_seen_at = now  # when it last showed that it is alive
-        self.last_message_at = now  # when its newest message came
-        self.lease_renewed_at = (
-            0.0  # last instant at which an answer of ours may have renewed its lease
-        )
-        self.renewed_without_gap_since = now  # no long gap between answered reports since then
-        self.ignored_starts = 0  # reports in a row that lacked a start told in an earlier answer
-        self.ignored_starts_since = 0.0
-        self.lease_losses = 0  # times that its lease ended although its reports were answered
-        self.lease_lost_at = 0.0
-        self.partition_reason = ""  # why it seems not to hear us, though its reports arrive
+    """What the leader knows of one machine.
+
+    Fields that end in ``_at`` or ``_since`` are instants of the event loop's clock, those in
+    ``_s`` durations; both are in seconds. Nothing of this is durable.
+    """
+
+    # Identity, from the cloud's list or the worker's heartbeat
+    index: int  # among the interned machine names
+    name: str
+    now: InitVar[float]
+    # Receives the machine's index whenever a scheduling field changes.
+    changed_machines: set[int] = field(default_factory=set, repr=False)
+    address: str = ""  # host:port of the worker; empty while unknown
+    machine_type: int = -1  # among the interned type names; -1 while unknown
+    zone: int = -1  # among the interned zone names; -1 while unknown
+    spot: bool = False  # else on-demand
+
+    # Life cycle
+    health: Health = Health.BOOTING
+    registered_at: float = field(init=False)  # when this leader first knew of it
+    rented_at: float = field(init=False)
+    idle_since: float = field(init=False)  # when it last had a task, or came up
+    scale_out_key: str = ""  # key of the scale-out record that brought it; empty if none is known
+    listed: bool = False  # the cloud's list has contained it
+    missing_from_lists: int = 0  # consecutive lists that lacked it since then
+    spot_notice_s: float | None = None  # time left until the cloud reclaims it, as last reported
+    spot_notice_at: float = 0.0  # when the notice first came
+
+    # Heartbeats
+    incarnation: int = 0  # of its worker; 0 until the first heartbeat
+    incarnation_seen_at: float = field(init=False)  # first heartbeat of that incarnation
+    sequence_number: int = -1  # of the newest heartbeat
+    last_message_at: float = field(init=False)  # newest heartbeat or command response
+    last_seen_at: float = field(init=False)  # newest proof that the worker is alive
+
+    # Fencing
+    highest_token: int = 0  # the worker refuses commands with a lower one
+    acknowledged_epoch: int = 0  # newest epoch that the worker has shown to know
+    answered_epoch: int = 0  # newest epoch in which a heartbeat of it was answered
+
+    # Lease of the worker
+    lease_renewed_at: float = 0.0  # last instant at which an answer may have renewed it
+    renewed_without_gap_since: float = field(init=False)  # renewals came often enough since then
+    lease_losses: int = 0  # consecutive expiries although the heartbeats were answered
+    lease_lost_at: float = 0.0  # the newest of them
+
+    # Checks by the leader itself
+    last_read_at: float = NEVER  # when it last tried to read the worker's status
+    failed_reads: int = 0  # consecutive reads without a response
+    probing: bool = False  # a probe is under way
+    failed_probes: int = 0  # consecutive probes without a response
+
+    # Direct commands
+    commands_in_flight: int = 0
+    last_unanswered_at: float = 0.0  # when a command was last given up without a response
+
+    # Exclusion from scheduling
+    ignored_starts: int = 0  # consecutive heartbeats without a start that was sent before
+    ignored_starts_since: float = 0.0
+    partition_reason: str = ""  # why a one-way partition is suspected; empty if it is not
+    quarantine_reason: str = ""  # why it has to be returned; empty if it has not
+    cordoned: bool = False  # surplus capacity: receives no new work for the time being
+
+    images: dict[int, float] = field(default_factory=dict)
+    """The cached images by index, least recently used first, with their size in GB."""
+
+    def __post_init__(self, now: float) -> None:
         self.registered_at = now
         self.rented_at = now
         self.idle_since = now
-        self.spot_notice_s: float | None = None
-        self.spot_notice_at = 0.0
-        self.listed = False
-        self.missing_from_lists = 0  # lists in a row without it, since it was listed
-        self.scale_out_key = ""
-        self.failed_probes = 0  # in a row, of those sent because a report is overdue
-        self.probing = False
-        self.commands_in_flight = 0  # direct commands now under way
-        self.last_unanswered_at = 0.0  # when a direct command was last given up
-        self.images: dict[int, float] = {}  # cached images in order of last use, with their size
-        self.quarantine_reason = ""
-        self.cordoned = False  # surplus: gets nothing new as long as that lasts
-
-    def __setattr__(self, name: str, value: object) -> None:
-        if name in SCHEDULING_FIELDS and getattr(self, name, None) != value:
-            self._changed.add(self.index)
-        super().__setattr__(name, value)
+        self.incarnation_seen_at = now
+        self.last_message_at = now
+        self.last_seen_at = now
+        self.renewed_without_gap_since = now
+
+    if not TYPE_CHECKING:  # A visible __setattr__ would let assignments to unknown names pass mypy.
+
+        def __setattr__(self, name: str, value: object) -> None:
+            if name in SCHEDULING_FIELDS and getattr(self, name, None) != value:
+                self.changed_machines.add(self.index)
+            object.__setattr__(self, name, value)
 
     def transition(self, target: Health) -> None:
-        """The one place where a machine's health changes."""
+        """Change the machine's health; the only place that does."""
         if target is self.health:
             return
         assert target in TRANSITIONS[self.health], f"{self.name}: {self.health} to {target}"
@@ -148,13 +149,13 @@
 
     @property
     def accepts_work(self) -> bool:
-        """May be given work."""
+        """Whether its own condition lets it be given work; see ``Fleet.is_schedulable``."""
         return self.health is Health.UP and not self.quarantine_reason and not self.partition_reason
 
     def use_image(self, image: int, size_gb: float, cache_gb: float) -> None:
-        """The image is cached, as the one used last; the oldest give way to it."""
+        """Mark a cached image as the one used last; evict the oldest beyond ``cache_gb``."""
         if image not in self.images:
-            self._changed.add(self.index)
+            self.changed_machines.add(self.index)
         self.images.pop(image, None)
         self.images[image] = size_gb
         total = sum(self.images.values())
@@ -163,6 +164,6 @@
             total -= self.images.pop(oldest)
 
     def forget_images(self) -> None:
-        """A new session begins with an empty cache."""
+        """Empty the image cache, as a new incarnation does."""
         self.images.clear()
-        self._changed.add(self.index)
+        self.changed_machines.add(self.index)
