--- a/petrelthread/fleet/__init__.py
+++ b/petrelthread/fleet/__init__.py
@@ -4,9 +4,9 @@
 from petrelthread.fleet.command_dispatcher import CommandDispatcher
 from petrelthread.fleet.command_planner import CommandPlanner
 from petrelthread.fleet.failure_detector import FailureDetector
+from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.heartbeat_handler import HeartbeatHandler
 from petrelthread.fleet.machine import Health, Machine
-from petrelthread.fleet.registry import Fleet
 from petrelthread.fleet.zone_monitor import ZoneMonitor
 
 __all__ = [
--- /dev/null
+++ b/petrelthread/fleet/attempt_outcomes.py
@@ -0,0 +1,91 @@
+"""How attempts end: superseded, finished, or lost with their machine; and what they leave behind.
+
+The last step in the life of a start, which ``unacknowledged_starts`` documents as a whole.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from petrelthread.fleet.callbacks import FleetCallbacks
+from petrelthread.fleet.machine import Machine
+from petrelthread.fleet.machine_registry import MachineRegistry
+from petrelthread.fleet.unacknowledged_starts import UnacknowledgedStarts
+from petrelthread.state import TASK_FINISHED, TASK_PENDING, Attempt, Job
+
+log = logging.getLogger(__name__)
+
+
+class AttemptOutcomes:
+    """Ends attempts in the cluster state, once there is proof that they are over."""
+
+    def __init__(
+        self,
+        registry: MachineRegistry,
+        unacknowledged_starts: UnacknowledgedStarts,
+        callbacks: FleetCallbacks,
+    ) -> None:
+        self._registry = registry
+        self._unacknowledged_starts = unacknowledged_starts
+        self._callbacks = callbacks
+        # Tasks that have finished but are not yet durably recorded as such: job to task indices.
+        # Sets, since tasks are looked up in arrays of tens of thousands.
+        self.finished_tasks: dict[int, set[int]] = {}
+
+    def mark_lost(self, machine: Machine, reason: str) -> int:
+        """Supersede all attempts on a machine that is certainly gone.
+
+        There are two proofs: the worker's lease has expired (``FailureDetector.check``), or the
+        cloud has confirmed the machine's return (the provisioner).
+
+        Returns:
+            How many attempts there were.
+        """
+        lost = list(self._registry.attempts_on(machine).values())
+        for attempt in lost:
+            self.supersede(attempt, reason)
+        self._unacknowledged_starts.on_incarnation_ended(machine.index, reason)
+        return len(lost)
+
+    def supersede(self, attempt: Attempt, reason: str) -> None:
+        """End an attempt that certainly does not run and never will: its task may start again."""
+        log.info(
+            "operation superseded: start of %s/%d attempt %d: %s",
+            attempt.job.id,
+            attempt.task,
+            attempt.number,
+            reason,
+        )
+        self.credit_checkpoint(attempt, stopped=False)
+        self._registry.cluster_state.release(attempt)
+        self._callbacks.on_change()
+
+    def credit_checkpoint(self, attempt: Attempt, stopped: bool) -> None:
+        """Add to the task what the attempt's checkpoints keep of its run time.
+
+        Args:
+            attempt: It counts once; calling this again has no effect.
+            stopped: It was stopped gracefully and saved its progress last.
+        """
+        job, machine = attempt.job, self._registry.machines.get(attempt.machine)
+        if job.checkpoint_interval_s <= 0 or not attempt.running_at or machine is None:
+            return
+        ran_s = machine.last_message_at - attempt.running_at
+        kept_s = ran_s if stopped else ran_s - job.lost_work_s(ran_s, stopped=False)
+        if kept_s > 0:
+            job.checkpointed_s[attempt.task] = job.checkpointed_s.get(attempt.task, 0.0) + kept_s
+        attempt.running_at = 0.0
+
+    def finish(self, job: Job, task: int) -> None:
+        """Note that a task has finished, for the scheduler to record it."""
+        if job.final_status is not None or job.task_states[task] == TASK_FINISHED:
+            return
+        tasks = self.finished_tasks.setdefault(job.index, set())
+        if task not in tasks:
+            tasks.add(task)
+            self._callbacks.on_change()
+
+    def startable_count(self, job: Job) -> int:
+        """How many tasks of the job may be started: pending ones that have not finished either."""
+        finished = self.finished_tasks.get(job.index, ())
+        return job.pending_count - sum(job.task_states[task] == TASK_PENDING for task in finished)
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -8,8 +8,9 @@
 
 from petrelthread import protocol
 from petrelthread.fleet.failure_detector import FailureDetector
+from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
-from petrelthread.fleet.registry import NO_EPOCH, Fleet
+from petrelthread.fleet.machine_registry import NO_EPOCH
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.state import Attempt, OperationState, transition
 from petrelthread.store import Request
@@ -156,7 +157,7 @@
             return None
         clock = asyncio.get_running_loop().time
         for attempt in going:
-            fleet.note_start_sent(attempt, machine, clock())
+            fleet.on_start_sent(attempt, machine, clock())
         body = protocol.command_request(fleet.fencing_token, machine.incarnation, orders)
         machine.commands_in_flight += 1
         try:
--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from petrelthread import protocol
+from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
-from petrelthread.fleet.registry import Fleet
 from petrelthread.fleet.unacknowledged_starts import StartKey, key_of
 from petrelthread.state import TASK_FINISHED, Attempt, Job, epoch_of
 
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -4,8 +4,8 @@
 
 import logging
 
+from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Health, Machine
-from petrelthread.fleet.registry import Fleet
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +72,9 @@
             return
         machine.failed_probes = 0 if answered else machine.failed_probes + 1
         if machine.failed_probes >= MAX_FAILED_PROBES and machine.health is Health.UP:
-            log.info("machine %s is silent and does not answer", machine.name)
+            log.info(
+                "machine %s is unresponsive: no heartbeat, and no response to probes", machine.name
+            )
             machine.transition(Health.UNRESPONSIVE)
             self._fleet.callbacks.on_replicas_lost()
 
@@ -109,7 +111,7 @@
         if now - max(machine.last_seen_at, self._fleet.resumed_at) <= grace:
             return False
         log.info(
-            "machine %s is silent: not heard for %.1f s (limit %.1f s); %s in epoch %d",
+            "machine %s is unresponsive: not heard for %.1f s (limit %.1f s); %s in epoch %d",
             machine.name,
             now - machine.last_seen_at,
             grace,
@@ -131,8 +133,8 @@
         ):
             return False
         log.info(
-            "machine %s is silent: no report and no answer to %d reads in the %.1f s since the"
-            " election of epoch %d",
+            "machine %s is unresponsive: no heartbeat and no response to %d reads in the %.1f s"
+            " since the election of epoch %d",
             machine.name,
             machine.failed_reads,
             now - self._fleet.elected_at,
@@ -157,4 +159,4 @@
             if machine is None or now - machine.lease_renewed_at < self._fleet.lease_s:
                 continue
             if now > self._fleet.lease_expires_at(machine):
-                self._fleet.mark_lost(machine, f"lease of {machine.name} has run out")
+                self._fleet.mark_lost(machine, f"lease of {machine.name} has expired")
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -8,7 +8,7 @@
 
 from petrelthread import protocol
 from petrelthread.fleet.command_planner import CommandPlanner
-from petrelthread.fleet.registry import Fleet
+from petrelthread.fleet.fleet import Fleet
 from petrelthread.http import Response, error_response, json_response
 from petrelthread.leadership import Election, Role
 
--- /dev/null
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -0,0 +1,167 @@
+"""Reconciliation of a worker's heartbeat with what the leader knows of its machine.
+
+``TaskReconciler`` does the same for the tasks that the heartbeat lists.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from petrelthread import protocol
+from petrelthread.fleet.attempt_outcomes import AttemptOutcomes
+from petrelthread.fleet.callbacks import FleetCallbacks
+from petrelthread.fleet.machine import Health, Machine
+from petrelthread.fleet.machine_registry import MachineRegistry
+from petrelthread.fleet.task_reconciler import TaskReconciler
+from petrelthread.fleet.unacknowledged_starts import UnacknowledgedStarts
+from petrelthread.fleet.worker_lease import WorkerLeases
+
+log = logging.getLogger(__name__)
+
+MAX_IGNORED_STARTS = 3  # consecutive heartbeats without a start that was sent before
+
+
+class HeartbeatReconciler:
+    """Updates a machine from a heartbeat of its worker, however that came."""
+
+    def __init__(
+        self,
+        registry: MachineRegistry,
+        leases: WorkerLeases,
+        outcomes: AttemptOutcomes,
+        unacknowledged_starts: UnacknowledgedStarts,
+        task_reconciler: TaskReconciler,
+        callbacks: FleetCallbacks,
+    ) -> None:
+        self._registry = registry
+        self._leases = leases
+        self._outcomes = outcomes
+        self._unacknowledged_starts = unacknowledged_starts
+        self._task_reconciler = task_reconciler
+        self._callbacks = callbacks
+
+    def on_heartbeat(
+        self, heartbeat: protocol.WorkerHeartbeat, now: float, answered: bool
+    ) -> Machine | None:
+        """Reconcile a heartbeat with the state.
+
+        Args:
+            heartbeat: Sent by the worker by itself, or as its response to a command.
+            now: Event loop time.
+            answered: Whether a response goes out that renews the worker's lease.
+
+        Returns:
+            The machine; None if the heartbeat is out of date, so that its task list proves nothing.
+        """
+        machine = self._registry.get_or_add(heartbeat.host, now)
+        if (heartbeat.incarnation, heartbeat.sequence_number) <= (
+            machine.incarnation,
+            machine.sequence_number,
+        ):
+            if answered:
+                # It was sent before the newest one came, so the answer renews the lease to no later
+                # than from then on.
+                machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_message_at)
+            return None
+        if machine.health is Health.TERMINATED:
+            return None  # a delayed message: the cloud has confirmed the machine's return
+        if answered:
+            self._leases.on_renewed(machine, now)
+        if heartbeat.incarnation > machine.incarnation:
+            if machine.incarnation:
+                self._begin_incarnation(machine, heartbeat.incarnation, now)
+            machine.incarnation_seen_at = now
+        self._update_liveness(machine, heartbeat, now, answered)
+        self._update_identity(machine, heartbeat)
+        self._update_health(machine, heartbeat, now, answered)
+        self._unacknowledged_starts.on_token_acknowledged(machine.index, machine.highest_token)
+        self._task_reconciler.reconcile(machine, heartbeat, now)
+        self._detect_one_way_partition(machine, now)
+        return machine
+
+    def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
+        """The worker has restarted: nothing of its earlier incarnation runs any more."""
+        self._leases.on_incarnation_ended(machine, now)
+        reason = f"{machine.name} began incarnation {incarnation}"
+        for attempt in list(self._registry.attempts_on(machine).values()):
+            if attempt.incarnation < incarnation:
+                self._outcomes.supersede(attempt, reason)
+        self._unacknowledged_starts.on_incarnation_ended(machine.index, reason)
+        machine.forget_images()
+
+    def _update_liveness(
+        self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float, answered: bool
+    ) -> None:
+        """Note what the heartbeat proves about the worker and about its lease."""
+        epoch = self._registry.epoch
+        acknowledges_epoch = heartbeat.fencing_token >= epoch
+        if not machine.incarnation or (acknowledges_epoch and answered):
+            # A heartbeat with an older token may be a copy from before the election, and a response
+            # to a command also comes from a worker that reaches no controller, whose lease expires.
+            # The first heartbeat counts, so that a new worker has time to acknowledge the epoch.
+            machine.last_seen_at = now
+            machine.failed_probes = 0
+        if acknowledges_epoch:
+            if not answered and machine.acknowledged_epoch != epoch:
+                # The worker has just taken the token from a command. Until now a former leader may
+                # have renewed its lease.
+                machine.lease_renewed_at = machine.renewed_without_gap_since = now
+            machine.acknowledged_epoch = epoch
+            machine.failed_reads = 0
+        if answered:
+            machine.answered_epoch = epoch
+        machine.last_message_at = now
+
+    def _update_identity(self, machine: Machine, heartbeat: protocol.WorkerHeartbeat) -> None:
+        names = self._registry.cluster_state.names
+        machine.incarnation = heartbeat.incarnation
+        machine.sequence_number = heartbeat.sequence_number
+        machine.highest_token = max(machine.highest_token, heartbeat.fencing_token)
+        machine.address = heartbeat.address or machine.address
+        if heartbeat.machine_type:
+            machine.machine_type = names.machine_types.index(heartbeat.machine_type)
+        if heartbeat.zone:
+            machine.zone = names.zones.index(heartbeat.zone)
+        machine.spot = heartbeat.spot
+
+    def _update_health(
+        self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float, answered: bool
+    ) -> None:
+        reachable = answered and machine.acknowledged_epoch == self._registry.epoch
+        if machine.health is Health.BOOTING:
+            machine.idle_since = now
+            machine.transition(Health.UP)
+            self._callbacks.on_change()
+        elif machine.health is Health.UNRESPONSIVE and reachable:
+            log.info("machine %s is responsive again", machine.name)
+            machine.transition(Health.UP)
+            self._callbacks.on_change()
+        if heartbeat.spot_notice_s is not None:
+            self._on_spot_notice(machine, heartbeat.spot_notice_s, now)
+
+    def _on_spot_notice(self, machine: Machine, notice_s: float, now: float) -> None:
+        if machine.spot_notice_s is None:
+            log.info("machine %s: spot termination notice, %.0f s left", machine.name, notice_s)
+            machine.spot_notice_at = now
+            self._registry.machines_with_notice[machine.index] = machine
+        machine.spot_notice_s = notice_s
+        if machine.health is Health.UP:
+            machine.transition(Health.DRAINING)
+            self._callbacks.on_change()
+
+    def _detect_one_way_partition(self, machine: Machine, now: float) -> None:
+        """Stop scheduling on a machine whose heartbeats arrive but which receives nothing.
+
+        It looks alive and idle, and would attract one task after the other.
+        """
+        before = machine.partition_reason
+        reason = ""
+        if machine.ignored_starts >= MAX_IGNORED_STARTS:
+            reason = "it does not carry out its start commands"
+        elif self._leases.was_lost_recently(machine, now):
+            reason = "its lease expired although its heartbeats were answered"
+        machine.partition_reason = reason
+        if reason and not before:
+            log.info("machine %s: one-way partition suspected: %s", machine.name, reason)
+        elif before and not reason:
+            log.info("machine %s: one-way partition over", machine.name)
--- /dev/null
+++ b/petrelthread/fleet/machine_registry.py
@@ -0,0 +1,95 @@
+"""The machines that the leader knows, and which of them may be given work."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from petrelthread.fleet.machine import Health, Machine
+from petrelthread.state import Attempt, ClusterState, OperationState, transition
+
+NO_EPOCH = -1  # the epoch of a controller that does not lead
+
+
+class MachineRegistry:
+    """All machines by index, in the epoch in which this controller leads."""
+
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self.cluster_state = cluster_state
+        self.machines: dict[int, Machine] = {}
+        self.machines_with_notice: dict[int, Machine] = {}  # spot machines about to be reclaimed
+        self.epoch = 0  # in which this controller was elected, or NO_EPOCH
+        self.elected_at = 0.0  # event loop time
+
+    def get_or_add(self, name: str, now: float) -> Machine:
+        """Return the machine of that name, which is added if it is not known yet."""
+        index = self.cluster_state.names.machines.index(name)
+        found = self.machines.get(index)
+        if found is None:
+            found = self.machines[index] = Machine(
+                index, name, now, self.cluster_state.usage.changed_machines
+            )
+        return found
+
+    def find(self, name: str) -> Machine | None:
+        """Return the machine of that name, if it is known."""
+        index = self.cluster_state.names.machines.find(name)
+        return None if index is None else self.machines.get(index)
+
+    def attempts_on(self, machine: Machine) -> dict[tuple[int, int], Attempt]:
+        """Return the attempts recorded for the machine, by indices of job and task."""
+        return self.cluster_state.attempts_by_machine.get(machine.index, {})
+
+    def hosts_replicas(self, machine: Machine) -> bool:
+        """Whether replicas of services run on it, whose loss has to be noticed quickly."""
+        return any(
+            a.job.is_service and not a.has_exited for a in self.attempts_on(machine).values()
+        )
+
+    def is_schedulable(self, machine: Machine) -> bool:
+        """Whether the machine may be given work.
+
+        Its worker must refuse commands of former leaders: it has acknowledged this epoch, or the
+        machine was rented in it.
+        """
+        fenced = machine.acknowledged_epoch == self.epoch or self.is_rented_in_this_epoch(machine)
+        return machine.accepts_work and fenced
+
+    def is_rented_in_this_epoch(self, machine: Machine) -> bool:
+        """Whether this leader rented it, so that no other leader can have answered its worker."""
+        return machine.scale_out_key.startswith(f"c/{self.epoch}-")
+
+    def begin_epoch(self, epoch: int, now: float, recorded_machines: Collection[str]) -> None:
+        """Treat all that was known before as unproven until workers report again.
+
+        Args:
+            epoch: The one in which this controller has been elected.
+            now: Event loop time.
+            recorded_machines: Names in records of scale-out and scale-in. Other machines without
+                attempts are dropped, since a former leader may have returned them long ago; if they
+                exist, they report or are listed by the cloud.
+        """
+        self.epoch = epoch
+        self.elected_at = now
+        attempts_by_machine = self.cluster_state.attempts_by_machine
+        for index in attempts_by_machine:
+            self.get_or_add(self.cluster_state.names.machines.name(index), now)
+        for machine in list(self.machines.values()):
+            known = machine.name in recorded_machines or machine.index in attempts_by_machine
+            if known and machine.health is not Health.TERMINATED:
+                self._doubt(machine, now)
+            else:
+                del self.machines[machine.index]
+                self.machines_with_notice.pop(machine.index, None)
+
+    def _doubt(self, machine: Machine, now: float) -> None:
+        """Forget what only the former leader could tell of the machine and its attempts."""
+        machine.last_seen_at = machine.registered_at = now
+        machine.idle_since = now
+        machine.failed_reads = 0
+        machine.commands_in_flight = 0
+        has_attempts = machine.index in self.cluster_state.attempts_by_machine
+        if machine.health is Health.BOOTING and has_attempts:
+            machine.transition(Health.UP)  # it ran work, so a lack of heartbeats means something
+        for attempt in self.attempts_on(machine).values():
+            if attempt.state in (OperationState.CONFIRMED, OperationState.DISPATCHING):
+                transition(attempt, OperationState.UNKNOWN)
--- /dev/null
+++ b/petrelthread/fleet/task_reconciler.py
@@ -0,0 +1,190 @@
+"""Reconciliation of the tasks that a heartbeat lists with the attempts on record."""
+
+from __future__ import annotations
+
+import logging
+
+from petrelthread import protocol
+from petrelthread.fleet.attempt_outcomes import AttemptOutcomes
+from petrelthread.fleet.callbacks import FleetCallbacks
+from petrelthread.fleet.job_failures import JobFailures
+from petrelthread.fleet.machine import Machine
+from petrelthread.fleet.machine_registry import MachineRegistry
+from petrelthread.fleet.unacknowledged_starts import StartKey, UnacknowledgedStarts, key_of
+from petrelthread.state import TASK_PENDING, Attempt, Job, OperationState, epoch_of, transition
+
+log = logging.getLogger(__name__)
+
+BEFORE_RUNNING = ("", protocol.TaskState.FETCHING, protocol.TaskState.GATHERING)
+HAS_RUN = (protocol.TaskState.RUNNING, protocol.TaskState.SAVING)
+REFUSALS = (
+    protocol.ExitCause.NO_ROOM,
+    protocol.ExitCause.IN_USE,
+    protocol.ExitCause.UNKNOWN_TASK,
+)
+REFUSED_RETRY_DELAY_S = 1.0
+REPLICA_STABLE_AFTER_S = 8.0  # a replica that runs so long shows that its job works
+
+
+class TaskReconciler:
+    """Moves attempts on according to what their worker lists, or no longer lists."""
+
+    def __init__(
+        self,
+        registry: MachineRegistry,
+        outcomes: AttemptOutcomes,
+        unacknowledged_starts: UnacknowledgedStarts,
+        job_failures: JobFailures,
+        callbacks: FleetCallbacks,
+    ) -> None:
+        self._registry = registry
+        self._cluster_state = registry.cluster_state
+        self._outcomes = outcomes
+        self._unacknowledged_starts = unacknowledged_starts
+        self._job_failures = job_failures
+        self._callbacks = callbacks
+
+    def reconcile(self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float) -> None:
+        """Reconcile all tasks on the machine with the newest heartbeat of its worker."""
+        listed = self._reconcile_all_listed(machine, heartbeat, now)
+        for key, attempt in list(self._registry.attempts_on(machine).items()):
+            if attempt.incarnation < heartbeat.incarnation:
+                self._outcomes.supersede(
+                    attempt, f"{machine.name} is in incarnation {heartbeat.incarnation}"
+                )
+            elif key not in listed and attempt.incarnation == heartbeat.incarnation:
+                self._reconcile_missing(machine, attempt)
+        if self._registry.attempts_on(machine):
+            machine.idle_since = now
+
+    # ---- listed tasks ----------------------------------------------------------------------------
+
+    def _reconcile_all_listed(
+        self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float
+    ) -> set[tuple[int, int]]:
+        """Reconcile each listed task. Returns those that have an attempt on record here."""
+        listed: set[tuple[int, int]] = set()
+        has_unacknowledged = self._unacknowledged_starts.has_any_on(machine.index)
+        for task_report in heartbeat.tasks:
+            job_id, task = task_report.job_and_index
+            job = self._cluster_state.jobs_by_id.get(job_id)
+            if job is None or not 0 <= task < job.task_count:
+                continue
+            if has_unacknowledged:
+                self._unacknowledged_starts.on_listed(
+                    machine.index, StartKey(job.index, task, task_report.attempt)
+                )
+            key = (job.index, task)
+            attempt = self._registry.attempts_on(machine).get(key)
+            if attempt is None or attempt.number != task_report.attempt:
+                attempt = self._adopt_unrecorded(
+                    machine, heartbeat.incarnation, job, task, task_report
+                )
+                if attempt is None:
+                    continue
+            listed.add(key)
+            self._reconcile_listed(machine, attempt, task_report, now)
+        return listed
+
+    def _adopt_unrecorded(
+        self,
+        machine: Machine,
+        incarnation: int,
+        job: Job,
+        task: int,
+        task_report: protocol.TaskReport,
+    ) -> Attempt | None:
+        """Record a running attempt that is not on record, so that it is not started elsewhere too.
+
+        Returns:
+            The new attempt; None if the attempt is over, or its task is not pending.
+        """
+        if task_report.state == protocol.TaskState.EXITED:
+            if task_report.exit_cause == protocol.ExitCause.DONE and not job.is_service:
+                self._job_failures.on_completed(machine, job, task)
+                self._outcomes.finish(job, task)
+            return None
+        if job.final_status is not None or job.task_states[task] != TASK_PENDING:
+            return None
+        log.info("machine %s runs unrecorded task %s/%d: adopted", machine.name, job.id, task)
+        return self._cluster_state.add_attempt(
+            task_report.attempt, job, task, machine.index, incarnation
+        )
+
+    def _reconcile_listed(
+        self, machine: Machine, attempt: Attempt, task_report: protocol.TaskReport, now: float
+    ) -> None:
+        """Apply the reported state of an attempt on record."""
+        job, state = attempt.job, task_report.state
+        if attempt.state is not OperationState.CONFIRMED:
+            transition(attempt, OperationState.CONFIRMED)
+            if epoch_of(attempt.number) == self._registry.epoch:
+                machine.ignored_starts = 0
+        before = self._cluster_state.set_reported_state(attempt, state)
+        if job.is_service and state == protocol.TaskState.RUNNING and not attempt.proven_stable:
+            attempt.proven_stable = 0 < attempt.running_at < now - REPLICA_STABLE_AFTER_S
+            if attempt.proven_stable:
+                self._job_failures.on_completed(machine, job, attempt.task)
+        if state in HAS_RUN and before in BEFORE_RUNNING:
+            attempt.running_at = now
+            self._use_image(machine, job)
+        if state == protocol.TaskState.EXITED and before != protocol.TaskState.EXITED:
+            self._on_exited(machine, attempt, task_report, now)
+
+    def _use_image(self, machine: Machine, job: Job) -> None:
+        cache_gb = self._callbacks.image_cache_gb(machine.machine_type)
+        machine.use_image(job.image, job.image_size_gb, cache_gb)
+
+    # ---- exited tasks ----------------------------------------------------------------------------
+
+    def _on_exited(
+        self, machine: Machine, attempt: Attempt, task_report: protocol.TaskReport, now: float
+    ) -> None:
+        job, cause = attempt.job, task_report.exit_cause
+        self._callbacks.on_change()
+        if cause == protocol.ExitCause.DONE and not job.is_service:
+            self._on_done(machine, attempt, now)
+            return
+        if cause == protocol.ExitCause.ERROR:
+            self._job_failures.on_failed(machine, job, attempt.task, now)
+        elif cause in REFUSALS:
+            log.info("machine %s refused %s/%d: %s", machine.name, job.id, attempt.task, cause)
+            job.retry_at = max(job.retry_at, now + REFUSED_RETRY_DELAY_S)
+        elif task_report.progress_saved:
+            self._outcomes.credit_checkpoint(attempt, stopped=True)
+        # The worker lists the attempt until it is told to forget it, so that no late command can
+        # start it again.
+        self._outcomes.supersede(attempt, f"ended: {cause}")
+
+    def _on_done(self, machine: Machine, attempt: Attempt, now: float) -> None:
+        job = attempt.job
+        self._job_failures.on_completed(machine, job, attempt.task)
+        self._use_image(machine, job)
+        if attempt.running_at:
+            checkpointed_s = job.checkpointed_s.pop(attempt.task, 0.0)
+            self._callbacks.on_run_time(job, checkpointed_s + now - attempt.running_at)
+        if job.final_status is None:
+            self._outcomes.finish(job, attempt.task)
+        else:
+            self._cluster_state.release(attempt, done=True)
+
+    # ---- missing tasks ---------------------------------------------------------------------------
+
+    def _reconcile_missing(self, machine: Machine, attempt: Attempt) -> None:
+        """Supersede an attempt that the newest heartbeat lacks, if that proves that it is over."""
+        if machine.commands_in_flight or self._unacknowledged_starts.holds(
+            machine.index, key_of(attempt)
+        ):
+            return  # a direct command may still start it
+        if attempt.state is OperationState.CONFIRMED:
+            if not attempt.has_exited:
+                self._outcomes.supersede(attempt, f"{machine.name} no longer lists it")
+            return
+        epoch = self._registry.epoch
+        if epoch_of(attempt.number) >= epoch:
+            return  # a start of this epoch is sent again; one of a newer leader is not ours to end
+        if machine.highest_token >= epoch:
+            # The worker refuses the commands of all older leaders.
+            self._outcomes.supersede(
+                attempt, f"{machine.name} does not list it and acknowledges epoch {epoch}"
+            )
--- a/petrelthread/fleet/test_registry.py
+++ b/petrelthread/fleet/test_fleet.py
@@ -130,7 +130,7 @@
 def test_no_forget_while_a_direct_command_may_still_start_it() -> None:
     fleet = fleet_at(100.0)
     machine, attempt = started(fleet, (EPOCH << 20) + 1)
-    fleet.note_start_sent(attempt, machine, 100.0)
+    fleet.on_start_sent(attempt, machine, 100.0)
     fleet.unacknowledged_starts.on_unanswered(attempt)
     stopped = report(1, EPOCH)
     stopped.tasks.append(protocol.TaskReport("wk-000001/0", attempt.number, "ended", "stopped"))
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -17,7 +17,7 @@
 from petrelthread.protocol import JobStatus
 from petrelthread.state import Attempt, OperationState, transition
 
-from .test_registry import EPOCH, HOLD_OVER_S, LEASE_S, fleet_at, report, started
+from .test_fleet import EPOCH, HOLD_OVER_S, LEASE_S, fleet_at, report, started
 
 AT = 100.0
 
@@ -32,7 +32,7 @@
         self.uncertain = self.fleet.unacknowledged_starts
         self.fleet.on_heartbeat(report(1, EPOCH), AT, answered=True)
         self.machine, self.attempt = started(self.fleet, (EPOCH << 20) + 1)
-        self.fleet.note_start_sent(self.attempt, self.machine, AT)
+        self.fleet.on_start_sent(self.attempt, self.machine, AT)
 
     def give_up(self) -> None:
         self.uncertain.on_unanswered(self.attempt)
@@ -85,7 +85,7 @@
 def test_a_machine_not_heard_in_this_epoch_may_be_answered_by_the_older_leader() -> None:
     ground = Ground()
     ground.machine.acknowledged_epoch = EPOCH - 1
-    ground.fleet.note_start_sent(ground.attempt, ground.machine, AT + 1.0)
+    ground.fleet.on_start_sent(ground.attempt, ground.machine, AT + 1.0)
     ground.uncertain.expire_leases(AT + HOLD_OVER_S + LEASE_S)
     assert ground.holds()
     ground.uncertain.expire_leases(AT + HOLD_OVER_S + LEASE_S + 0.6)
