--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -1,7 +1,15 @@
-"""What a worker is told with the answer to its report."""
+"""The commands that a worker gets with the answer to its heartbeat.
+
+This is also what ends the tasks of a cancelled job: every heartbeat that still lists one of them is
+answered with a stop command, by a leader in ``for_heartbeat`` and by any other controller that
+answers workers in ``stops_for_finished_jobs``. Starts of such a job that a worker does not list yet
+are the concern of ``unacknowledged_starts``.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from petrelthread import protocol
 from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
@@ -9,118 +17,153 @@
 from petrelthread.state import TASK_FINISHED, Attempt, Job, epoch_of
 
 
+class ListedTasks(NamedTuple):
+    """The result of comparing the tasks that a worker lists with the attempts on record."""
+
+    commands: list[protocol.Command]
+    recorded: set[tuple[int, int]]  # job and task indices of those that have an attempt on record
+
+
 class CommandPlanner:
-    """Compares what a report shows with what the cluster state wants on the machine."""
+    """Compares the tasks that a heartbeat lists with those that the machine should run."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
 
-    def _unwanted(self, attempt: Attempt) -> bool:
-        return attempt.job.final_status is not None
-
     def stops_for_finished_jobs(
         self, heartbeat: protocol.WorkerHeartbeat
     ) -> list[protocol.Command]:
-        """Only what needs no right to command: a final state is durable and never changes."""
-        out: list[protocol.Command] = []
-        for leg in heartbeat.tasks:
-            job_id, task = leg.job_and_index
+        """Stop listed tasks of jobs that are cancelled or over.
+
+        These commands need no authority, because a final status is durable and never changes.
+        """
+        commands: list[protocol.Command] = []
+        for task_report in heartbeat.tasks:
+            job_id, task = task_report.job_and_index
             job = self._fleet.cluster_state.jobs_by_id.get(job_id)
             if (
-                leg.state != protocol.TaskState.EXITED
+                task_report.state != protocol.TaskState.EXITED
                 and job is not None
                 and job.final_status is not None
             ):
-                out.append(protocol.StopCommand(protocol.task_id(job_id, task), leg.attempt, 0))
-        return out
+                commands.append(_stop(job_id, task, task_report.attempt))
+        return commands
 
     def for_heartbeat(
         self,
         machine: Machine,
         heartbeat: protocol.WorkerHeartbeat,
         now: float,
-        starting: bool = True,
+        may_start: bool = True,
     ) -> list[protocol.Command]:
-        """What the worker has to be told, given the report just taken in.
+        """Return the leader's commands for the heartbeat that has just been reconciled.
 
-        ``starting``: it is known what was cancelled until a moment ago; else nothing is started.
+        Args:
+            machine: The sender.
+            heartbeat: The newest one of the machine.
+            now: Event loop time.
+            may_start: Whether this leader's view of cancellations is recent enough for starts.
         """
-        out, listed = self._for_shown(machine, heartbeat)
-        if not machine.commands_in_flight and starting:
-            out += self._starts(machine, heartbeat, listed, now)
-        return out
-
-    def _for_shown(
-        self, machine: Machine, report: protocol.WorkerHeartbeat
-    ) -> tuple[list[protocol.Command], set[tuple[int, int]]]:
-        """Commands for what the report shows, and which of our attempts are among that."""
-        out: list[protocol.Command] = []
-        listed: set[tuple[int, int]] = set()
-        there = self._fleet.attempts_on(machine)
-        for leg in report.tasks:
-            job_id, task = leg.job_and_index
+        commands, recorded = self._for_listed_tasks(machine, heartbeat)
+        if may_start and not machine.commands_in_flight:
+            commands += self._starts(machine, heartbeat, recorded, now)
+        return commands
+
+    def _for_listed_tasks(
+        self, machine: Machine, heartbeat: protocol.WorkerHeartbeat
+    ) -> ListedTasks:
+        """Stop or forget listed tasks that are not wanted, or not any more."""
+        commands: list[protocol.Command] = []
+        recorded: set[tuple[int, int]] = set()
+        attempts = self._fleet.attempts_on(machine)
+        for task_report in heartbeat.tasks:
+            job_id, task = task_report.job_and_index
             job = self._fleet.cluster_state.jobs_by_id.get(job_id)
-            attempt = None if job is None else there.get((job.index, task))
-            ours = attempt is not None and attempt.number == leg.attempt
-            if job is not None and ours:
-                listed.add((job.index, task))
-            if leg.state == protocol.TaskState.EXITED:
-                if self._may_forget(machine, job, task, leg, ours):
-                    out.append(protocol.ForgetCommand(protocol.task_id(job_id, task), leg.attempt))
-            elif job is None:
-                continue  # never told to us: nothing is known that would justify a stop
-            elif not ours or attempt is None or self._unwanted(attempt):
-                out.append(protocol.StopCommand(protocol.task_id(job_id, task), leg.attempt, 0))
+            if job is None:
+                continue  # the state read so far does not justify any command
+            attempt = attempts.get((job.index, task))
+            if attempt is not None and attempt.number != task_report.attempt:
+                attempt = None
+            if attempt is not None:
+                recorded.add((job.index, task))
+            if task_report.state == protocol.TaskState.EXITED:
+                if self._may_forget(machine, job, task, task_report, attempt):
+                    task_id = protocol.task_id(job_id, task)
+                    commands.append(protocol.ForgetCommand(task_id, task_report.attempt))
+            elif attempt is None or job.final_status is not None:
+                commands.append(_stop(job_id, task, task_report.attempt))
             elif attempt.stop_requested_at:
-                out.append(
-                    protocol.StopCommand(
-                        protocol.task_id(job_id, task), leg.attempt, attempt.job.grace_period_s
-                    )
-                )
-        return out, listed
+                commands.append(_stop(job_id, task, attempt.number, job.grace_period_s))
+        return ListedTasks(commands, recorded)
+
+    def _may_forget(
+        self,
+        machine: Machine,
+        job: Job,
+        task: int,
+        task_report: protocol.TaskReport,
+        attempt: Attempt | None,
+    ) -> bool:
+        """Whether the worker may remove an exited task from its heartbeats.
+
+        Args:
+            machine: The worker's machine.
+            job: The task's job.
+            task: The task's index.
+            task_report: The exited task as listed.
+            attempt: The same attempt on record; None if it is not on record for this machine.
+        """
+        start = StartKey(job.index, task, task_report.attempt)
+        if self._fleet.unacknowledged_starts.holds(machine.index, start):
+            return False  # once forgotten, the attempt would be started again by a late command
+        if task_report.exit_cause == protocol.ExitCause.DONE and not job.is_service:
+            # Only once it is durably recorded.
+            return job.final_status is not None or job.task_states[task] == TASK_FINISHED
+        return attempt is None
 
     def _starts(
         self,
         machine: Machine,
-        report: protocol.WorkerHeartbeat,
-        listed: set[tuple[int, int]],
+        heartbeat: protocol.WorkerHeartbeat,
+        recorded: set[tuple[int, int]],
         now: float,
     ) -> list[protocol.Command]:
-        """Starts of this epoch that the worker does not show yet."""
-        out: list[protocol.Command] = []
-        again = False
+        """Start what the worker does not list yet, and supersede unlisted starts not wanted."""
+        commands: list[protocol.Command] = []
+        ignored = False
         for key, attempt in list(self._fleet.attempts_on(machine).items()):
-            if key in listed or attempt.incarnation != report.incarnation or attempt.has_exited:
-                continue
-            if epoch_of(attempt.number) != self._fleet.epoch:
+            if key in recorded or not self._may_be_started(attempt, heartbeat.incarnation):
                 continue
-            if self._unwanted(attempt) or attempt.stop_requested_at:
+            if attempt.job.final_status is not None or attempt.stop_requested_at:
                 if not self._fleet.unacknowledged_starts.holds(machine.index, key_of(attempt)):
-                    self._fleet.supersede(attempt, "never shown, no longer wanted")
+                    self._fleet.supersede(attempt, "never listed, no longer wanted")
                 continue
-            out.append(
+            commands.append(
                 protocol.StartCommand(
                     protocol.task_id(attempt.job.id, attempt.task), attempt.number
                 )
             )
-            again = again or attempt.start_delivered
+            ignored = ignored or attempt.start_delivered
             attempt.start_delivered = True
-        if again:
+        if ignored:
             if not machine.ignored_starts:
                 machine.ignored_starts_since = now
             machine.ignored_starts += 1
-        return out
+        return commands
 
-    def _may_forget(
-        self, machine: Machine, job: Job | None, task: int, leg: protocol.TaskReport, ours: bool
-    ) -> bool:
-        if job is None:
-            return False  # the cluster state may lag; a job that never was does not reach a worker
-        if self._fleet.unacknowledged_starts.holds(
-            machine.index, StartKey(job.index, task, leg.attempt)
-        ):
-            return False  # a late direct command would start it again
-        if leg.exit_cause == protocol.ExitCause.DONE and not job.is_service:
-            # Forgotten only once it is durable.
-            return job.final_status is not None or job.task_states[task] == TASK_FINISHED
-        return not ours
+    def _may_be_started(self, attempt: Attempt, incarnation: int) -> bool:
+        """Whether the attempt is a start of this epoch, meant for this incarnation of the worker.
+
+        ``CommandDispatcher`` decides for direct commands.
+        """
+        return (
+            attempt.incarnation == incarnation
+            and not attempt.has_exited
+            and epoch_of(attempt.number) == self._fleet.epoch
+        )
+
+
+def _stop(
+    job_id: str, task: int, attempt_number: int, grace_period_s: float = 0
+) -> protocol.StopCommand:
+    return protocol.StopCommand(protocol.task_id(job_id, task), attempt_number, grace_period_s)
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -1,10 +1,12 @@
-"""Workers' reports at ``POST /checkin``: who may answer them, and what the answer says."""
+"""Workers' heartbeats at ``POST /checkin``: whether a worker is answered, and with what."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections import deque
+from collections.abc import Sequence
+from http import HTTPStatus
 
 from petrelthread import protocol
 from petrelthread.fleet.command_planner import CommandPlanner
@@ -14,84 +16,115 @@
 
 log = logging.getLogger(__name__)
 
-WINDOW_HEARTBEATS = 2  # report intervals that count as lately
+WINDOW_INTERVALS = 2  # heartbeat intervals in which a heartbeat counts as recent
 
 
 class HeartbeatHandler:
-    """Takes reports in and answers them, as far as this controller has the right to."""
+    """Receives heartbeats and answers them, as far as this controller may."""
 
     def __init__(
-        self, node: str, election: Election, fleet: Fleet, commands: CommandPlanner
+        self, node: str, election: Election, fleet: Fleet, command_planner: CommandPlanner
     ) -> None:
-        """``node``: the name of this controller."""
+        """Handle the heartbeats that arrive at the controller of the name ``node``."""
         self._node = node
         self._election = election
         self._fleet = fleet
-        self._commands = commands
-        self._came_at: deque[float] = deque()
+        self._command_planner = command_planner
+        self._received_at: deque[float] = deque()
 
     @property
     def window_s(self) -> float:
-        """For how long a report counts as a recent one, in seconds."""
-        return WINDOW_HEARTBEATS * self._fleet.heartbeat_interval_s
+        """For how long a heartbeat counts as recent, in seconds."""
+        return WINDOW_INTERVALS * self._fleet.heartbeat_interval_s
 
     def recent_count(self, now: float) -> int:
-        """How many reports have come lately, whatever became of them."""
-        while self._came_at and now - self._came_at[0] > self.window_s:
-            self._came_at.popleft()
-        return len(self._came_at)
+        """How many heartbeats arrived recently, answered or not."""
+        while self._received_at and now - self._received_at[0] > self.window_s:
+            self._received_at.popleft()
+        return len(self._received_at)
 
     def reset_recent(self) -> None:
-        """Count anew: what came before says nothing about what comes from now on."""
-        self._came_at.clear()
+        """Count recent heartbeats from zero, because earlier ones prove nothing any more."""
+        self._received_at.clear()
 
     def handle(self, body: bytes) -> Response:
-        """Answer one report. A malformed one gets 400 and changes nothing."""
+        """Answer one heartbeat. A malformed one gets 400 and changes nothing."""
         try:
-            report = protocol.parse_heartbeat(body)
+            heartbeat = protocol.parse_heartbeat(body)
         except protocol.BadRequestError as error:
-            return error_response(400, str(error))
+            return error_response(HTTPStatus.BAD_REQUEST, str(error))
         now = asyncio.get_running_loop().time()
-        self._came_at.append(now)
+        self._received_at.append(now)
         self.recent_count(now)
+        self._election.observe_epoch(heartbeat.fencing_token)
+        refusal = self._refusal(heartbeat, now)
+        if refusal is not None:
+            return refusal
+        commands = self._commands_for(heartbeat, now)
+        return json_response(
+            HTTPStatus.OK, protocol.heartbeat_response(self._election.fencing_token, commands)
+        )
+
+    def _refusal(self, heartbeat: protocol.WorkerHeartbeat, now: float) -> Response | None:
+        """Decide whether the worker is answered: the one place that does.
+
+        Returns:
+            None if the worker is answered, which renews its lease. Else what it gets instead: 421
+            with another controller's name if this one may not answer workers, or 503 if the lease
+            has to expire because a start that must not be carried out any more may still reach the
+            machine.
+        """
         election = self._election
-        election.observe_epoch(report.fencing_token)
         if not election.may_answer_workers:
-            home = election.leader_name
-            if home == self._node:
-                home = None
-            return json_response(421, protocol.redirect_response(home))
-        if self._lease_must_end(report, now):
-            return error_response(
-                503, "a late start may still reach this machine: its lease must end"
-            )
-        if election.role is Role.FAILING_OVER:
+            leader = election.leader_name
             return json_response(
-                200,
-                protocol.heartbeat_response(
-                    election.fencing_token, self._commands.stops_for_finished_jobs(report)
-                ),
+                HTTPStatus.MISDIRECTED_REQUEST,
+                protocol.redirect_response(None if leader == self._node else leader),
             )
-        machine = self._fleet.on_heartbeat(report, now, answered=True)
-        if not election.is_leader:
-            orders = self._commands.stops_for_finished_jobs(report)
-        elif machine is not None:
-            orders = self._commands.for_heartbeat(machine, report, now, election.may_start_tasks)
-        else:
-            orders = []
-        return json_response(200, protocol.heartbeat_response(election.fencing_token, orders))
-
-    def _lease_must_end(self, report: protocol.WorkerHeartbeat, now: float) -> bool:
-        """Whether an answer might keep a start executable that was cancelled too long ago."""
-        uncertain, token = self._fleet.unacknowledged_starts, self._election.fencing_token
-        machine = self._fleet.find(report.host)
-        if machine is None or not uncertain.has_any_on(machine.index):
+        if self._lease_must_expire(heartbeat, now):
+            return error_response(
+                HTTPStatus.SERVICE_UNAVAILABLE,
+                "a late start may still reach this machine: its lease must end",
+            )
+        return None
+
+    def _lease_must_expire(self, heartbeat: protocol.WorkerHeartbeat, now: float) -> bool:
+        """Whether an answer could keep a start executable for longer than a cancellation may take.
+
+        If not, the answer is noted as a renewal of the lease for the starts on the machine.
+        """
+        starts, token = self._fleet.unacknowledged_starts, self._election.fencing_token
+        machine = self._fleet.find(heartbeat.host)
+        if machine is None or not starts.has_any_on(machine.index):
             return False
-        if not uncertain.may_answer(machine.index, token, now):
-            # What it shows is evidence all the same: a later session, or a higher token.
-            self._fleet.on_heartbeat(report, now, answered=False)
-            if not uncertain.may_answer(machine.index, token, now):
-                log.info("machine %s is not answered: a start may come late", machine.name)
+        if not starts.may_answer(machine.index, token, now):
+            # The heartbeat itself may void the start, by a new incarnation or a higher token.
+            self._fleet.on_heartbeat(heartbeat, now, answered=False)
+            if not starts.may_answer(machine.index, token, now):
+                log.info(
+                    "machine %s is not answered: a late start command may still reach it",
+                    machine.name,
+                )
                 return True
-        uncertain.on_lease_renewed(machine.index, token, now)
+        starts.on_lease_renewed(machine.index, token, now)
         return False
+
+    def _commands_for(
+        self, heartbeat: protocol.WorkerHeartbeat, now: float
+    ) -> Sequence[protocol.Command]:
+        """Reconcile an answered heartbeat and return the commands for the answer.
+
+        Only a leader gives commands that need its authority; one that fails over or is in its lease
+        grace period only stops tasks of finished jobs.
+        """
+        election = self._election
+        if election.role is Role.FAILING_OVER:
+            return self._command_planner.stops_for_finished_jobs(heartbeat)
+        machine = self._fleet.on_heartbeat(heartbeat, now, answered=True)
+        if not election.is_leader:
+            return self._command_planner.stops_for_finished_jobs(heartbeat)
+        if machine is None:
+            return []
+        return self._command_planner.for_heartbeat(
+            machine, heartbeat, now, election.may_start_tasks
+        )
