--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -21,6 +21,7 @@
     Fleet,
     FleetCallbacks,
     HeartbeatHandler,
+    WorkerStatusReader,
     ZoneMonitor,
 )
 from petrelthread.http import LoadShedder, Response
@@ -143,12 +144,12 @@
         self.heartbeat_handler = HeartbeatHandler(
             self.settings.host_name, self.election, self.fleet, self.command_planner
         )
+        command_slots = asyncio.Semaphore(commands_at_once)
         self.dispatch = CommandDispatcher(
-            self.fleet,
-            self.failure_detector,
-            commands,
-            commands_at_once,
-            lambda: self.election.may_start_tasks,
+            self.fleet, commands, command_slots, lambda: self.election.may_start_tasks
+        )
+        self.worker_status_reader = WorkerStatusReader(
+            self.fleet, self.failure_detector, commands, command_slots
         )
         self.zone_monitor = ZoneMonitor(workers.report_s)
 
@@ -225,7 +226,7 @@
             self.claims,
             self.fleet,
             self.failure_detector,
-            self.dispatch,
+            self.worker_status_reader,
             self.scheduler,
             self.pause_detector,
             self.load_shedder,
@@ -247,7 +248,7 @@
             self.pause_detector,
             self.fleet,
             self.heartbeat_handler,
-            self.dispatch,
+            self.worker_status_reader,
             self.zone_monitor,
             self.view,
             self._update_alerts,
--- a/petrelthread/controller/housekeeping.py
+++ b/petrelthread/controller/housekeeping.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from petrelthread.controller.write_rates import WriteRateManager
-from petrelthread.fleet import CommandDispatcher, Fleet, HeartbeatHandler, ZoneMonitor
+from petrelthread.fleet import Fleet, HeartbeatHandler, WorkerStatusReader, ZoneMonitor
 from petrelthread.fleet.failure_detector import FIND_LEADER_S
 from petrelthread.leadership import Election
 from petrelthread.pause_detector import PauseDetector
@@ -40,7 +40,7 @@
     pause_detector: PauseDetector
     fleet: Fleet
     heartbeat_handler: HeartbeatHandler
-    dispatcher: CommandDispatcher
+    worker_status_reader: WorkerStatusReader
     zone_monitor: ZoneMonitor
     view: ClusterView
     update_alerts: Callable[[float], None]
@@ -68,7 +68,7 @@
             if self.election.is_leader:
                 self._check_zones(now)
                 if now - self.election.elected_at < READ_WORKERS_S:
-                    self.dispatcher.read_workers(now, late_s=delay_s)
+                    self.worker_status_reader.read_workers(now, late_s=delay_s)
 
     def _state_is_old(self, now: float) -> bool:
         cache = self.watch_cache
--- a/petrelthread/controller/scheduling_loop.py
+++ b/petrelthread/controller/scheduling_loop.py
@@ -6,7 +6,7 @@
 import logging
 from dataclasses import dataclass
 
-from petrelthread.fleet import CommandDispatcher, FailureDetector, Fleet
+from petrelthread.fleet import FailureDetector, Fleet, WorkerStatusReader
 from petrelthread.http import LoadShedder
 from petrelthread.leadership import ClaimWriter, Election
 from petrelthread.pause_detector import PauseDetector
@@ -29,7 +29,7 @@
     claims: ClaimWriter
     fleet: Fleet
     failure_detector: FailureDetector
-    dispatcher: CommandDispatcher
+    worker_status_reader: WorkerStatusReader
     scheduler: Scheduler
     pause_detector: PauseDetector
     load_shedder: LoadShedder
@@ -62,7 +62,7 @@
 
     async def _check_failures(self, now: float) -> None:
         self.failure_detector.check(now, self.unresponsive_after_s(now))
-        self.dispatcher.probe(now)
+        self.worker_status_reader.probe(now)
         await self._void_unacknowledged_starts(now)
 
     async def _run_round(self, now: float) -> bool:
--- a/petrelthread/fleet/__init__.py
+++ b/petrelthread/fleet/__init__.py
@@ -7,6 +7,7 @@
 from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.heartbeat_handler import HeartbeatHandler
 from petrelthread.fleet.machine import Health, Machine
+from petrelthread.fleet.worker_status_reader import WorkerStatusReader
 from petrelthread.fleet.zone_monitor import ZoneMonitor
 
 __all__ = [
@@ -18,5 +19,6 @@
     "Health",
     "HeartbeatHandler",
     "Machine",
+    "WorkerStatusReader",
     "ZoneMonitor",
 ]
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -10,8 +10,15 @@
 import pytest
 
 from petrelthread import protocol
-from petrelthread.fleet import CommandDispatcher, CommandPlanner, FailureDetector, Fleet, Machine
-from petrelthread.fleet.command_dispatcher import MAX_READS, MAX_READS_WHEN_LATE
+from petrelthread.fleet import (
+    CommandDispatcher,
+    CommandPlanner,
+    FailureDetector,
+    Fleet,
+    Machine,
+    WorkerStatusReader,
+)
+from petrelthread.fleet.worker_status_reader import MAX_READS, MAX_READS_WHEN_LATE
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.state import (
     Attempt,
@@ -40,7 +47,7 @@
         self.fleet.fail_over(EPOCH, asyncio.get_running_loop().time())
         self.asked: list[str] = []
         self.dispatch = CommandDispatcher(
-            self.fleet, FailureDetector(self.fleet), self.request, 1, lambda: True
+            self.fleet, self.request, asyncio.Semaphore(1), lambda: True
         )
         self.hearing, self.silent = self.machine("host-1"), self.machine("host-2")
         self.task = 0
@@ -137,11 +144,11 @@
         fleet.fail_over(3, 0.0)
         for number in range(4000):
             fleet.get_or_add(f"host-{number:06d}", 0.0).address = f"host-{number}:9"
-        dispatch = CommandDispatcher(fleet, FailureDetector(fleet), request, 4000, lambda: True)
+        reader = WorkerStatusReader(fleet, FailureDetector(fleet), request, asyncio.Semaphore(4000))
         now, calls = 0.0, 0
         while len(set(asked)) < 4000:
             before = len(asked)
-            dispatch.read_workers(now, late_s)
+            reader.read_workers(now, late_s)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             assert len(asked) - before <= most
--- /dev/null
+++ b/petrelthread/fleet/worker_status_reader.py
@@ -0,0 +1,124 @@
+"""Requests by which the leader finds out by itself how workers are, without their heartbeats."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from http import HTTPStatus
+
+from petrelthread import protocol
+from petrelthread.fleet.failure_detector import FailureDetector
+from petrelthread.fleet.fleet import Fleet
+from petrelthread.fleet.machine import Machine
+from petrelthread.http import ClientResponse, NoResponseError
+from petrelthread.store import Request
+
+log = logging.getLogger(__name__)
+
+RESPONSE_TIMEOUT_S = 2.0
+PROBE_TIMEOUT_S = 1.0
+MAX_READS = 250  # workers that one call reads,
+MAX_READS_WHEN_LATE = 25  # and while the event loop
+MAX_LOOP_DELAY_S = 0.1  # is late by more than this
+
+
+class WorkerStatusReader:
+    """Reads workers after a failover, and probes those with replicas whose heartbeat is overdue."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        failure_detector: FailureDetector,
+        request: Request,
+        command_slots: asyncio.Semaphore,
+    ) -> None:
+        """Read nothing yet.
+
+        Args:
+            fleet: The machines.
+            failure_detector: It selects workers to ask, and judges the outcome.
+            request: Sends one HTTP request.
+            command_slots: Limits the reads under way, together with direct commands.
+        """
+        self._fleet = fleet
+        self._failure_detector = failure_detector
+        self._request = request
+        self._command_slots = command_slots
+
+    def read_workers(self, now: float, late_s: float = 0.0) -> None:
+        """Read some of the workers that have not acknowledged this epoch.
+
+        Until a worker has, nothing may be placed on its machine, and one whose controller hangs
+        takes seconds to find this one. Only some, because each read takes time from the event loop,
+        which also has to renew the leader's lease; most workers report by themselves.
+
+        Args:
+            now: Event loop time.
+            late_s: How late the event loop runs.
+        """
+        most = MAX_READS if late_s < MAX_LOOP_DELAY_S else MAX_READS_WHEN_LATE
+        for machine in self._failure_detector.unread_machines(now)[:most]:
+            machine.last_read_at = now
+            asyncio.create_task(self._read_worker(machine, self._fleet.epoch))
+
+    async def _read_worker(self, machine: Machine, epoch: int) -> None:
+        fleet = self._fleet
+        async with self._command_slots:
+            if fleet.epoch != epoch or machine.acknowledged_epoch == epoch:
+                return
+            clock = asyncio.get_running_loop().time
+            asked_at = clock()
+            try:
+                response = await self._show_token(machine)
+                heartbeat = protocol.parse_heartbeat(response.body)
+            except (NoResponseError, protocol.BadRequestError) as error:
+                log.debug("machine %s: status not read: %s", machine.name, error)
+                # A timeout that fired late, or during a pause of this process, proves nothing.
+                in_time = (
+                    clock() - asked_at < 2 * RESPONSE_TIMEOUT_S + MAX_LOOP_DELAY_S
+                    and fleet.resumed_at < asked_at
+                )
+                if fleet.epoch == epoch and in_time and isinstance(error, NoResponseError):
+                    self._failure_detector.on_read(machine, answered=False)
+                return
+        if response.status == HTTPStatus.OK and fleet.epoch == epoch:
+            fleet.on_heartbeat(heartbeat, asyncio.get_running_loop().time(), answered=False)
+
+    async def _show_token(self, machine: Machine) -> ClientResponse:
+        """Make the worker take this leader's token, so that it refuses older ones from then on.
+
+        Returns:
+            The response to a command request without commands.
+
+        Raises:
+            NoResponseError: One of two requests got no response.
+            protocol.BadRequestError: The worker's status is malformed.
+        """
+        status = await self._request(
+            machine.address, "GET", protocol.STATUS_PATH, timeout=RESPONSE_TIMEOUT_S
+        )
+        incarnation = protocol.parse_heartbeat(status.body).incarnation
+        body = protocol.command_request(self._fleet.fencing_token, incarnation, [])
+        return await self._request(
+            machine.address, "POST", protocol.COMMAND_PATH, body, timeout=RESPONSE_TIMEOUT_S
+        )
+
+    def probe(self, now: float) -> None:
+        """Ask machines with service replicas whose heartbeat is overdue for a sign of life."""
+        for machine in self._failure_detector.overdue_machines(now):
+            machine.probing = True
+            asyncio.create_task(self._probe(machine, self._fleet.epoch))
+
+    async def _probe(self, machine: Machine, epoch: int) -> None:
+        asked_at = asyncio.get_running_loop().time()
+        try:
+            await self._request(
+                machine.address, "GET", protocol.STATUS_PATH, timeout=PROBE_TIMEOUT_S
+            )
+            answered = True
+        except NoResponseError:
+            answered = False
+        finally:
+            machine.probing = False
+        if self._fleet.epoch == epoch and machine.last_seen_at < asked_at:
+            self._failure_detector.on_probe(machine, answered, asyncio.get_running_loop().time())
