--- a/petrelthread/fleet/failure_attribution.py
+++ b/petrelthread/fleet/failure_attribution.py
@@ -1,26 +1,28 @@
-"""Whose fault a failed task is: the machine's, on which jobs fail that complete elsewhere, or the
-job's, which fails on every machine and has never completed a task anywhere.
+"""Attribution of failed tasks: to the machine, or to the job.
 
-Each side was judged alone before: two jobs submitted with a mistake made every healthy machine that
-ran them look faulty, and it was given back.
+A machine is at fault if jobs fail on it that complete elsewhere. A job is at fault if it fails on
+several machines and has never completed a task. Both are judged together, so that broken jobs make
+no healthy machine look faulty, and faulty machines make no healthy job look broken.
 """
 
 from __future__ import annotations
 
+from collections import defaultdict
 from enum import Enum
 
-SUSPECT_AFTER_MACHINES = (
-    3  # machines not found faulty on which a job fails that never completed anything
-)
-MAX_MACHINES_OF_GOOD_JOB = (
-    3  # a proven job that fails on more machines than this has some bad tasks itself
-)
-MAX_CONSECUTIVE_FAILURES = (
-    4  # failures of proven jobs with no completion in between speak for themselves
-)
+# Machines, not faulty themselves, on which an unproven job has to fail to become suspect.
+SUSPECT_AFTER_MACHINES = 3
+# A proven job that fails on more machines than this has some bad tasks itself.
+MAX_MACHINES_OF_GOOD_JOB = 3
+# Failures of one proven job, with no completion on the machine in between, that prove a fault.
+MAX_CONSECUTIVE_FAILURES = 4
+# Failures of one proven job that prove a fault if the job fails on few machines.
+MIN_REPEATED_FAILURES = 2
 
 
 class JobHealth(Enum):
+    """What the outcomes of its tasks say about a job."""
+
     NEW = "new"
     PROVEN = "has completed a task"
     SUSPECT = "fails everywhere"
@@ -34,110 +36,129 @@
 
 
 class FailureAttribution:
-    """What failed where, as the leader has seen it. Jobs and machines by index."""
+    """What failed where, as seen by this leader, and the conclusions. Jobs, machines by index.
+
+    Attributes:
+        faulty: Machines found faulty, with the reason. A verdict stays.
+    """
 
     def __init__(self) -> None:
-        self._trust: dict[int, JobHealth] = {}
-        self._failed_on: dict[int, set[int]] = {}  # by job: machines
-        self._here: dict[
-            int, dict[int, int]
-        ] = {}  # by machine: failures by job, none completed since
+        self._job_health: dict[int, JobHealth] = {}
+        self._machines_failed_on: dict[int, set[int]] = {}  # by job
+        # By machine: failures by job since the machine last completed a task.
+        self._failures_on: defaultdict[int, defaultdict[int, int]] = defaultdict(
+            lambda: defaultdict(int)
+        )
         self.faulty: dict[int, str] = {}
 
     def clear(self) -> None:
-        self._trust.clear()
-        self._failed_on.clear()
-        self._here.clear()
+        """Forget everything, as a new leader does."""
+        self._job_health.clear()
+        self._machines_failed_on.clear()
+        self._failures_on.clear()
         self.faulty.clear()
 
     def job_health(self, job: int) -> JobHealth:
-        return self._trust.get(job, JobHealth.NEW)
+        """Return the present judgement of the job."""
+        return self._job_health.get(job, JobHealth.NEW)
 
     def failed_on(self, job: int) -> set[int]:
-        return self._failed_on.get(job, set())
+        """Return the machines on which the job has failed."""
+        return self._machines_failed_on.get(job, set())
 
     def unproven(self) -> list[int]:
-        """Jobs that have failed somewhere and never completed a task."""
-        return [job for job in self._failed_on if self.job_health(job) is not JobHealth.PROVEN]
+        """Return jobs that have failed somewhere and never completed a task."""
+        return [
+            job for job in self._machines_failed_on if self.job_health(job) is not JobHealth.PROVEN
+        ]
 
-    def _move(self, job: int, to: JobHealth) -> None:
-        """The one place where the trust in a job changes."""
+    def _transition(self, job: int, target: JobHealth) -> None:
+        """Change the health of a job; the only place that does."""
         before = self.job_health(job)
-        if to is not before:
-            assert to in TRANSITIONS[before], f"job {job}: {before} to {to}"
-            self._trust[job] = to
+        if target is not before:
+            assert target in TRANSITIONS[before], f"job {job}: {before} to {target}"
+            self._job_health[job] = target
 
-    # ---- what is seen --------------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------------
 
-    def failed(self, job: int, machine: int) -> list[int]:
+    def on_failed(self, job: int, machine: int) -> list[int]:
         """A task of the job failed on the machine. Returns machines found faulty by that."""
-        self._failed_on.setdefault(job, set()).add(machine)
-        here = self._here.setdefault(machine, {})
-        here[job] = here.get(job, 0) + 1
+        self._machines_failed_on.setdefault(job, set()).add(machine)
+        self._failures_on[machine][job] += 1
         found = self._judge_machines([machine])
         self._judge_job(job)
         return found
 
-    def completed(self, job: int, machine: int) -> list[int]:
-        self._here.pop(machine, None)
-        return self.prove(job)
+    def on_completed(self, job: int, machine: int) -> list[int]:
+        """A task of the job completed on the machine. Returns machines found faulty by that."""
+        self._failures_on.pop(machine, None)
+        return self.on_proven(job)
+
+    def on_proven(self, job: int) -> list[int]:
+        """The job can complete tasks, so where it failed the machine may be at fault.
 
-    def prove(self, job: int) -> list[int]:
-        """The job can complete tasks: where it failed before, the machine may be at fault."""
+        Returns:
+            Machines found faulty by that.
+        """
         if self.job_health(job) is JobHealth.PROVEN:
             return []
-        self._move(job, JobHealth.PROVEN)
+        self._transition(job, JobHealth.PROVEN)
         return self._judge_machines(sorted(self.failed_on(job)))
 
-    def over(self, job: int) -> None:
-        """The job has its final state. What it proved about machines stays."""
+    def on_finished(self, job: int) -> None:
+        """The job has its final status. What it proved about machines stays."""
         if self.job_health(job) is not JobHealth.PROVEN:
-            self._trust.pop(job, None)
-            self._failed_on.pop(job, None)
-            for here in self._here.values():
-                here.pop(job, None)
+            self._job_health.pop(job, None)
+            self._machines_failed_on.pop(job, None)
+            for failures in self._failures_on.values():
+                failures.pop(job, None)
 
     def restore(self, job: int, machines: list[int]) -> None:
-        """An earlier leader found that it fails everywhere."""
-        self._failed_on[job] = set(machines)
+        """A former leader recorded that the job fails on all machines, among them these."""
+        self._machines_failed_on[job] = set(machines)
         self._judge_job(job)
 
-    # ---- judgement -----------------------------------------------------------------------------
+    # ---- judgement -------------------------------------------------------------------------------
 
     def _judge_machines(self, machines: list[int]) -> list[int]:
+        """Find out which of the machines are faulty. Returns those not known as faulty before."""
         found = []
         for machine in machines:
             if machine in self.faulty:
                 continue
-            why = self._fault(machine)
-            if why:
-                self.faulty[machine] = why
+            reason = self._fault_reason(machine)
+            if reason:
+                self.faulty[machine] = reason
                 found.append(machine)
         if found:
-            # A job that failed on those only is no longer suspect.
-            for job, trust in list(self._trust.items()):
-                if trust is JobHealth.SUSPECT:
+            # Jobs that failed on these machines alone are no longer suspect.
+            for job, health in list(self._job_health.items()):
+                if health is JobHealth.SUSPECT:
                     self._judge_job(job)
         return found
 
-    def _fault(self, machine: int) -> str:
-        here = self._here.get(machine, {})
+    def _fault_reason(self, machine: int) -> str:
+        """Why the machine is faulty; empty if it is not."""
         proven = {
-            job: count for job, count in here.items() if self.job_health(job) is JobHealth.PROVEN
+            job: count
+            for job, count in self._failures_on.get(machine, {}).items()
+            if self.job_health(job) is JobHealth.PROVEN
         }
         total = sum(proven.values())
         if len(proven) > 1:
             return "different jobs that complete elsewhere fail on it"
         if total >= MAX_CONSECUTIVE_FAILURES:
             return "everything fails on it that completes elsewhere"
-        if total > 1 and all(self._spread(job) <= MAX_MACHINES_OF_GOOD_JOB for job in proven):
+        few = all(self._healthy_machine_count(job) <= MAX_MACHINES_OF_GOOD_JOB for job in proven)
+        if total >= MIN_REPEATED_FAILURES and few:
             return "a job that completes elsewhere fails on it"
         return ""
 
-    def _spread(self, job: int) -> int:
+    def _healthy_machine_count(self, job: int) -> int:
+        """On how many machines the job failed that are not faulty."""
         return len(self.failed_on(job) - self.faulty.keys())
 
     def _judge_job(self, job: int) -> None:
         if self.job_health(job) is not JobHealth.PROVEN:
-            suspect = self._spread(job) >= SUSPECT_AFTER_MACHINES
-            self._move(job, JobHealth.SUSPECT if suspect else JobHealth.NEW)
+            suspect = self._healthy_machine_count(job) >= SUSPECT_AFTER_MACHINES
+            self._transition(job, JobHealth.SUSPECT if suspect else JobHealth.NEW)
--- a/petrelthread/fleet/job_failures.py
+++ b/petrelthread/fleet/job_failures.py
@@ -1,4 +1,4 @@
-"""Jobs that fail, and machines on which jobs fail: what follows for each of them."""
+"""What follows from failures: back-off of failing jobs, and quarantine of faulty machines."""
 
 from __future__ import annotations
 
@@ -14,112 +14,118 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RECORDED_MACHINES = 8  # named in the record of a job that fails everywhere
+MAX_RECORDED_MACHINES = 8  # in the stored record of a suspect job
 INITIAL_BACKOFF_S = 5.0  # until a failing job is tried again, doubled each time
 MAX_BACKOFF_S = 60.0
 
 
 class JobFailures:
-    """Applies the judgement of ``Failures`` to the jobs and machines of one leader."""
+    """Applies the judgement of ``FailureAttribution`` to jobs and machines."""
 
     def __init__(self, cluster_state: ClusterState, machines: dict[int, Machine]) -> None:
-        """``machines``: by index, all that the leader knows."""
+        """Know of no failure yet.
+
+        Args:
+            cluster_state: The jobs, and the records of suspect ones.
+            machines: All that the leader knows, by index; shared with the registry.
+        """
         self._cluster_state = cluster_state
         self._machines = machines
-        self._failures = FailureAttribution()
+        self._attribution = FailureAttribution()
 
     def fail_over(self, now: float) -> None:
-        """Begin anew with what the records tell. Judged from scratch by each leader, a job that
-        fails everywhere started all its tasks again each time."""
-        self._failures.clear()
+        """Begin with what former leaders recorded, so that suspect jobs remain suspect."""
+        self._attribution.clear()
+        names = self._cluster_state.names.machines
+        recorded = self._cluster_state.machines_by_failing_job
         for job in self._cluster_state.open_jobs.values():
             if job.done_count:
-                self._failures.prove(job.index)
-            elif job.id in self._cluster_state.machines_by_failing_job:
-                names = self._cluster_state.names.machines
-                on = [
-                    names.index(name)
-                    for name in self._cluster_state.machines_by_failing_job[job.id]
-                ]
-                self._failures.restore(job.index, on)
+                self._attribution.on_proven(job.index)
+            elif job.id in recorded:
+                machines = [names.index(name) for name in recorded[job.id]]
+                self._attribution.restore(job.index, machines)
                 job.suspect_since = now
 
     def is_suspect(self, job: Job) -> bool:
-        """It fails on every machine: one task at a time is tried, and nothing waits for it."""
-        return self._failures.job_health(job.index) is JobHealth.SUSPECT
+        """Whether the job fails on all machines, so that only one task at a time is tried."""
+        return self._attribution.job_health(job.index) is JobHealth.SUSPECT
 
     def failed_on(self, job: Job) -> set[int]:
-        """The machines on which it has failed, by index."""
-        return self._failures.failed_on(job.index)
+        """Return the machines on which the job has failed, by index."""
+        return self._attribution.failed_on(job.index)
+
+    # ---- stored records of suspect jobs ----------------------------------------------------------
 
     def new_suspects(self) -> dict[str, list[str]]:
-        """Jobs that fail everywhere and are not on record as such, with machines that show it."""
+        """Return suspect jobs without a record, by id, with names of machines they failed on."""
         name = self._cluster_state.names.machines.name
         return {
             job.id: [name(index) for index in sorted(self.failed_on(job))[:MAX_RECORDED_MACHINES]]
-            for job in map(self._cluster_state.jobs.__getitem__, self._failures.unproven())
+            for job in map(self._cluster_state.jobs.__getitem__, self._attribution.unproven())
             if job.final_status is None
             and self.is_suspect(job)
             and job.id not in self._cluster_state.machines_by_failing_job
         }
 
     def cleared_suspects(self) -> list[str]:
-        """Jobs on record as failing everywhere that no longer count as such."""
-        out = []
+        """Return the ids of jobs that have a record and are not suspect any more."""
+        cleared = []
         for job_id in self._cluster_state.machines_by_failing_job:
             job = self._cluster_state.jobs_by_id.get(job_id)
             if job is not None and (job.final_status is not None or not self.is_suspect(job)):
-                out.append(job_id)
-        return out
+                cleared.append(job_id)
+        return cleared
 
     def drop_finished(self) -> None:
-        """Jobs that are over are judged no more."""
-        for job in self._failures.unproven():
+        """Forget the failures of unproven jobs that have their final status."""
+        for job in self._attribution.unproven():
             if self._cluster_state.jobs[job].final_status is not None:
-                self._failures.over(job)
+                self._attribution.on_finished(job)
+
+    # ---- events ----------------------------------------------------------------------------------
 
     def on_completed(self, machine: Machine, job: Job, task: int) -> None:
-        """A task has completed, or a replica has run for long enough to show that it can."""
+        """A task has completed, or a replica has run for long enough to prove its job."""
         was_suspect = self.is_suspect(job)
-        for index in self._failures.completed(job.index, machine.index):
-            self._mark_faulty(index)
+        self._quarantine(self._attribution.on_completed(job.index, machine.index))
         job.failing_tasks.discard(task)
         if job.backoff_s:
             job.backoff_s = job.retry_at = 0.0
         if was_suspect:
-            log.info("job %s completes tasks after all", job.id)
+            log.info("job %s is no longer suspect: it completes tasks", job.id)
 
     def on_failed(self, machine: Machine, job: Job, task: int, now: float) -> None:
-        """A task has ended with an error."""
+        """A task has exited with an error."""
         log.info("task %d of %s failed on %s", task, job.id, machine.name)
         job.failing_tasks.add(task)
         was_suspect = self.is_suspect(job)
-        for index in self._failures.failed(job.index, machine.index):
-            self._mark_faulty(index)
-        suspect = self.is_suspect(job)
-        if suspect and not was_suspect:
+        self._quarantine(self._attribution.on_failed(job.index, machine.index))
+        is_suspect = self.is_suspect(job)
+        if is_suspect and not was_suspect:
             job.suspect_since = now
             log.warning(
-                "job %s fails everywhere, on %d machines, and has never completed a task:"
-                " one task at a time is tried until it does or is cancelled",
+                "job %s is suspect: it fails everywhere, on %d machines, and has never completed a"
+                " task; one task at a time is tried until it does or is cancelled",
                 job.id,
                 len(self.failed_on(job)),
             )
         if now < job.retry_at:
-            return  # a batch that fails together counts once
-        if suspect or self._all_that_waits_has_failed(job):
+            return  # tasks that fail together count once
+        if is_suspect or self._all_pending_have_failed(job):
             job.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, job.backoff_s * 2))
             job.retry_at = now + job.backoff_s
 
-    def _all_that_waits_has_failed(self, job: Job) -> bool:
-        if job.is_service and self._failures.job_health(job.index) is JobHealth.PROVEN:
+    def _all_pending_have_failed(self, job: Job) -> bool:
+        """Whether the job has nothing to start but tasks that have failed, on several machines."""
+        if job.is_service and self._attribution.job_health(job.index) is JobHealth.PROVEN:
             return False
         return len(self.failed_on(job)) >= SUSPECT_AFTER_MACHINES and all(
-            other in job.failing_tasks for other in job.pending_tasks()
+            task in job.failing_tasks for task in job.pending_tasks()
         )
 
-    def _mark_faulty(self, index: int) -> None:
-        machine = self._machines.get(index)
-        if machine is not None and not machine.quarantine_reason:
-            machine.quarantine_reason = self._failures.faulty[index]
-            log.info("machine %s is faulty: %s", machine.name, machine.quarantine_reason)
+    def _quarantine(self, faulty: list[int]) -> None:
+        for index in faulty:
+            machine = self._machines.get(index)
+            if machine is not None and not machine.quarantine_reason:
+                machine.quarantine_reason = self._attribution.faulty[index]
+                log.info("machine %s is faulty: %s", machine.name, machine.quarantine_reason)
--- a/petrelthread/fleet/test_failure_attribution.py
+++ b/petrelthread/fleet/test_failure_attribution.py
@@ -70,11 +70,11 @@
             ill = job in broken or machine in bad or chance.random() < 0.1
             event: Event = ("failed" if ill else "done", job, machine)
             events.append(event)
-            failures.failed(job, machine) if ill else failures.completed(job, machine)
+            failures.on_failed(job, machine) if ill else failures.on_completed(job, machine)
             if chance.random() < 0.05 and len(open_jobs) > 1:
                 open_jobs.remove(job)
                 events.append(("over", job, -1))
-                failures.over(job)
+                failures.on_finished(job)
         faulty, suspect = model(events)
         assert set(failures.faulty) == faulty, (seed, events)
         assert {j for j in range(6) if failures.job_health(j) is JobHealth.SUSPECT} == suspect, seed
@@ -86,25 +86,25 @@
 def test_two_broken_jobs_make_no_machine_look_faulty() -> None:
     failures = FailureAttribution()
     for machine in range(20):
-        assert not failures.failed(0, machine)
-        assert not failures.failed(1, machine)
+        assert not failures.on_failed(0, machine)
+        assert not failures.on_failed(1, machine)
     assert {failures.job_health(0), failures.job_health(1)} == {JobHealth.SUSPECT}
 
 
 def test_a_job_that_met_faulty_machines_alone_is_no_longer_suspect() -> None:
     failures = FailureAttribution()
     for machine in range(3):
-        failures.failed(0, machine)
+        failures.on_failed(0, machine)
     assert failures.job_health(0) is JobHealth.SUSPECT
-    failures.completed(1, 7)
-    assert failures.failed(1, 0) == []
-    assert failures.failed(1, 0) == [0]  # job 1 completes elsewhere: machine 0 is at fault
+    failures.on_completed(1, 7)
+    assert failures.on_failed(1, 0) == []
+    assert failures.on_failed(1, 0) == [0]  # job 1 completes elsewhere: machine 0 is at fault
     assert failures.job_health(0) is JobHealth.NEW
 
 
 def test_failures_before_the_first_completion_count_afterwards() -> None:
     failures = FailureAttribution()
-    failures.failed(0, 3)
-    failures.failed(0, 3)
+    failures.on_failed(0, 3)
+    failures.on_failed(0, 3)
     assert not failures.faulty
-    assert failures.completed(0, 4) == [3]
+    assert failures.on_completed(0, 4) == [3]
--- a/petrelthread/fleet/worker_lease.py
+++ b/petrelthread/fleet/worker_lease.py
@@ -29,10 +29,12 @@
     """The leases that workers may hold, as far as this leader can tell."""
 
     def __init__(self, registry: MachineRegistry, lease_s: float, lease_grace_s: float) -> None:
-        """Args:
-        registry: It knows the epoch of this leader and when that began.
-        lease_s: The duration of a worker's lease.
-        lease_grace_s: How long a former leader may answer workers after losing the lead.
+        """Know of no lease yet.
+
+        Args:
+            registry: It knows the epoch of this leader and when that began.
+            lease_s: The duration of a worker's lease.
+            lease_grace_s: How long a former leader may answer workers after losing the lead.
         """
         self._registry = registry
         self._lease_s = lease_s
