--- /dev/null
+++ b/petrelthread/fleet/test_command_planner.py
@@ -0,0 +1,20 @@
+"""What a worker is told with the answer to its heartbeat."""
+
+from __future__ import annotations
+
+from petrelthread.fleet import CommandPlanner, Fleet
+from tests.fleet_builder import ELECTED_AT, add_attempt, attempt_number, exited, heartbeat
+
+
+def test_exited_task_is_not_forgotten_while_a_direct_command_may_start_it_again(
+    fleet: Fleet, command_planner: CommandPlanner
+) -> None:
+    machine, attempt = add_attempt(fleet, attempt_number(1))
+    fleet.on_start_sent(attempt, machine, ELECTED_AT)
+    fleet.unacknowledged_starts.on_unanswered(attempt)
+    stopped = heartbeat(1, tasks=[exited(attempt.number, "stopped")])
+    fleet.on_heartbeat(stopped, 101.0, answered=True)
+    assert not command_planner.for_heartbeat(machine, stopped, 101.0)
+    # The late command does not match a new incarnation.
+    fleet.on_heartbeat(heartbeat(2, incarnation=2), 102.0, answered=True)
+    assert not fleet.unacknowledged_starts.count()
--- a/petrelthread/fleet/test_failure_attribution.py
+++ b/petrelthread/fleet/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""The judgement of broken job against faulty machine, compared with a slow plain model."""
+"""Attribution of failures to jobs or machines, also compared with a simple model."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_like_the_plain_model(block: int) -> None:
+def test_judgement_equals_that_of_the_model(block: int) -> None:
     seen = [0, 0]
     for seed in range(block * 100, block * 100 + 100):
         chance = random.Random(seed)
@@ -83,7 +83,7 @@
     assert min(seen) > 20
 
 
-def test_two_broken_jobs_make_no_machine_look_faulty() -> None:
+def test_broken_jobs_make_no_machine_faulty() -> None:
     failures = FailureAttribution()
     for machine in range(20):
         assert not failures.on_failed(0, machine)
@@ -91,7 +91,7 @@
     assert {failures.job_health(0), failures.job_health(1)} == {JobHealth.SUSPECT}
 
 
-def test_a_job_that_met_faulty_machines_alone_is_no_longer_suspect() -> None:
+def test_job_that_failed_on_faulty_machines_alone_is_no_longer_suspect() -> None:
     failures = FailureAttribution()
     for machine in range(3):
         failures.on_failed(0, machine)
@@ -102,7 +102,7 @@
     assert failures.job_health(0) is JobHealth.NEW
 
 
-def test_failures_before_the_first_completion_count_afterwards() -> None:
+def test_failures_before_the_job_is_proven_count_afterwards() -> None:
     failures = FailureAttribution()
     failures.on_failed(0, 3)
     failures.on_failed(0, 3)
--- /dev/null
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -0,0 +1,99 @@
+"""What a heartbeat's list of tasks proves about attempts."""
+
+from __future__ import annotations
+
+import pytest
+
+from petrelthread.fleet import CommandPlanner, Fleet, FleetCallbacks
+from petrelthread.state import OperationState
+from tests.fleet_builder import (
+    EPOCH,
+    JOB_ID,
+    add_attempt,
+    attempt_number,
+    build_fleet,
+    exited,
+    heartbeat,
+    running,
+)
+
+
+def test_finished_task_counts_once_however_often_it_is_listed(fleet: Fleet) -> None:
+    machine, attempt = add_attempt(fleet, attempt_number(1))
+    done = exited(attempt.number, "done")
+    for sequence_number in (1, 2, 2, 1, 3):
+        fleet.on_heartbeat(
+            heartbeat(sequence_number, tasks=[done]), 101.0 + sequence_number, answered=True
+        )
+    assert fleet.finished_tasks == {0: {0}}
+    fleet.cluster_state.on_key("d/1", [[JOB_ID, [0, 0]]], 1)
+    fleet.finished_tasks.clear()
+    fleet.on_heartbeat(heartbeat(4, tasks=[done]), 106.0, answered=True)
+    assert not fleet.finished_tasks
+    assert fleet.cluster_state.jobs[0].done_count == 1
+    assert not fleet.attempts_on(machine)
+
+
+def test_checkpointed_run_time_is_not_run_again_and_counts_as_learned_run_time() -> None:
+    learned: list[float] = []
+    fleet = build_fleet(FleetCallbacks(on_run_time=lambda job, ran_s: learned.append(ran_s)))
+    job = fleet.cluster_state.jobs[0]
+    job.checkpoint_interval_s, job.grace_period_s = 30.0, 3.0
+    assert job.lost_work_s(200.0, stopped=True) == 3.0
+    assert job.lost_work_s(200.0, stopped=False) == 20.0
+    _, first = add_attempt(fleet, attempt_number(1))
+    fleet.on_heartbeat(heartbeat(1, tasks=[running(first.number)]), 101.0, answered=True)
+    stopped = exited(first.number, "stopped", progress_saved=True)
+    fleet.on_heartbeat(heartbeat(2, tasks=[stopped]), 201.0, answered=True)
+    assert job.checkpointed_s == {0: pytest.approx(100.0)}
+    _, second = add_attempt(fleet, attempt_number(2))
+    for sequence_number, at in ((3, 210.0), (4, 275.0)):
+        fleet.on_heartbeat(
+            heartbeat(sequence_number, tasks=[running(second.number)]), at, answered=True
+        )
+    # The second attempt is lost with its incarnation.
+    fleet.on_heartbeat(heartbeat(4, incarnation=2), 280.0, answered=True)
+    assert job.checkpointed_s == {0: pytest.approx(160.0)}
+    _, third = add_attempt(fleet, attempt_number(3), incarnation=2)
+    fleet.on_heartbeat(
+        heartbeat(5, tasks=[running(third.number)], incarnation=2), 300.0, answered=True
+    )
+    fleet.on_heartbeat(
+        heartbeat(6, tasks=[exited(third.number, "done")], incarnation=2), 340.0, answered=True
+    )
+    assert learned == [pytest.approx(200.0)]
+    assert not job.checkpointed_s
+    job.checkpoint_interval_s = 0.0
+    assert job.lost_work_s(200.0, stopped=True) == 200.0
+
+
+def test_unrecorded_running_task_is_adopted_and_counted(
+    fleet: Fleet, command_planner: CommandPlanner
+) -> None:
+    """Released again at once, it could be started elsewhere while it runs."""
+    fleet.on_heartbeat(heartbeat(1), 100.5, answered=True)
+    with_task = heartbeat(2, tasks=[running(attempt_number(epoch=EPOCH - 1))])
+    machine = fleet.on_heartbeat(with_task, 101.0, answered=True)
+    assert machine is not None
+    job = fleet.cluster_state.jobs[0]
+    assert job.live_attempts[0].machine == machine.index
+    assert 0 not in list(job.pending_tasks())
+    assert fleet.cluster_state.usage.machine(machine.index).attempts == 1
+    assert command_planner.for_heartbeat(machine, with_task, 101.0) == []
+
+
+def test_finished_task_that_is_not_recorded_yet_is_not_startable(fleet: Fleet) -> None:
+    job = fleet.cluster_state.jobs[0]
+    fleet.finished_tasks[job.index] = {1, 2}
+    assert job.pending_count == 4
+    assert fleet.startable_count(job) == 2
+
+
+def test_heartbeat_proves_nothing_about_starts_of_a_newer_leader(fleet: Fleet) -> None:
+    # A deposed leader still gets responses to its commands after its watch has shown it starts of
+    # its successor. Superseded, they would be started a second time once it is elected again.
+    fleet.on_heartbeat(heartbeat(1), 100.5, answered=True)
+    _, attempt = add_attempt(fleet, attempt_number(epoch=EPOCH + 1))
+    fleet.on_heartbeat(heartbeat(2), 101.0, answered=False)
+    assert attempt.state is not OperationState.SUPERSEDED
+    assert fleet.cluster_state.jobs[0].live_attempts[0] is attempt
