--- a/petrelthread/fleet/__init__.py
+++ b/petrelthread/fleet/__init__.py
@@ -1,4 +1,15 @@
-"""The machines: what is known of them, what they are told, and when they count as lost."""
+"""Machines and the attempts on them: heartbeats, leases, commands, and detection of failures.
+
+Where the decisions are made:
+
+- whether a worker is answered: ``HeartbeatHandler._refusal``;
+- whether a start may be sent: ``CommandDispatcher._starts_that_may_be_sent`` for direct commands,
+  ``CommandPlanner._starts`` for answers to heartbeats;
+- when a machine is unresponsive, and when it is lost: ``FailureDetector.check``; the arithmetic of
+  leases is in ``WorkerLeases.expires_at``;
+- what ends the tasks of a cancelled job: ``CommandPlanner``; and ``UnacknowledgedStarts`` for
+  starts that may still arrive, where the life of a start is documented.
+"""
 
 from petrelthread.fleet.callbacks import FleetCallbacks
 from petrelthread.fleet.command_dispatcher import CommandDispatcher
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -49,9 +49,11 @@
             if machine.health is not Health.UP and machine.health is not Health.DRAINING:
                 continue
             up_count += 1
-            if machine.last_seen_at < seen_after and self._timed_out(machine, now, timeout_s):
+            if machine.last_seen_at < seen_after and self._mark_if_timed_out(
+                machine, now, timeout_s
+            ):
                 continue
-            if machine.failed_reads >= MAX_FAILED_READS and self._is_unreadable(machine, now):
+            if machine.failed_reads >= MAX_FAILED_READS and self._mark_if_unreadable(machine, now):
                 continue
             if machine.partition_reason:
                 partitioned.append(machine)
@@ -62,8 +64,8 @@
         self._expire_leases(now)
         self._fleet.unacknowledged_starts.expire_leases(now)
 
-    def _timed_out(self, machine: Machine, now: float, timeout_s: float) -> bool:
-        """Whether the machine has sent nothing for too long; it is unresponsive then."""
+    def _mark_if_timed_out(self, machine: Machine, now: float, timeout_s: float) -> bool:
+        """Mark a machine unresponsive that has sent nothing for too long. Returns whether it is."""
         answered = machine.answered_epoch == self._fleet.epoch
         if not answered:
             timeout_s += FIND_LEADER_S
@@ -81,11 +83,11 @@
         machine.transition(Health.UNRESPONSIVE)
         return True
 
-    def _is_unreadable(self, machine: Machine, now: float) -> bool:
-        """Whether a machine with attempts has neither reported nor responded since the election.
+    def _mark_if_unreadable(self, machine: Machine, now: float) -> bool:
+        """Mark a machine unresponsive that was silent since the election. Returns whether it is.
 
-        It is unresponsive then, earlier than by the timeout, so that it is returned and its tasks
-        start elsewhere sooner.
+        That is earlier than by the timeout, for machines with attempts, so that these are returned
+        and the tasks start elsewhere sooner.
         """
         fleet = self._fleet
         has_attempts = machine.index in fleet.cluster_state.attempts_by_machine
