--- a/petrelthread/fleet/fleet.py
+++ b/petrelthread/fleet/fleet.py
@@ -62,15 +62,19 @@
         self._leases = WorkerLeases(self, lease_s, lease_grace_s)
         self._outcomes = AttemptOutcomes(self, self.unacknowledged_starts, callbacks)
         self.finished_tasks = self._outcomes.finished_tasks
-        self._heartbeat_reconciler = HeartbeatReconciler(
+        self._heartbeat_reconciler = self._build_heartbeat_reconciler()
+
+    def _build_heartbeat_reconciler(self) -> HeartbeatReconciler:
+        task_reconciler = TaskReconciler(
+            self, self._outcomes, self.unacknowledged_starts, self.job_failures, self.callbacks
+        )
+        return HeartbeatReconciler(
             self,
             self._leases,
             self._outcomes,
             self.unacknowledged_starts,
-            TaskReconciler(
-                self, self._outcomes, self.unacknowledged_starts, self.job_failures, callbacks
-            ),
-            callbacks,
+            task_reconciler,
+            self.callbacks,
         )
 
     def step_down(self) -> None:
