--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -2,40 +2,44 @@
 
 The life of one start, from the claim until it is settled; ``Attempt.state`` in brackets:
 
-=============== ====================================================================================
-claimed         The scheduler's claim is committed: ``ClusterState.apply_round`` adds the attempt
-                [DISPATCHING], or [UNKNOWN] if the record was written by another leader.
-                ``Scheduler`` passes it to ``CommandDispatcher.send``.
-sent            ``CommandDispatcher`` sends a direct command, and ``Fleet.on_start_sent`` calls
-                ``on_sent`` first. Or ``CommandPlanner`` puts the start into the response to a
-                heartbeat, as often as the worker does not list it; that way is not tracked here,
-                because a worker drops a response that comes too late.
-acknowledged    The worker responds to the direct command, or the command never left:
-                ``CommandDispatcher`` calls ``on_answered``.
-unanswered      No response in time: ``CommandDispatcher`` calls ``on_unanswered`` [UNKNOWN]. The
-                command may arrive at any time, even much later.
-listed          A heartbeat lists the attempt: ``TaskReconciler`` calls ``on_listed`` [CONFIRMED].
-                While it is listed, a late command has no effect.
-void            The command can have no effect any more, because the worker has shown a higher
-                fencing token (``HeartbeatReconciler`` calls ``on_token_acknowledged``) or a new
-                incarnation, or its machine is lost (``HeartbeatReconciler`` or
-                ``AttemptOutcomes.mark_lost`` calls ``on_incarnation_ended``), or its lease has
-                expired (``FailureDetector.check`` calls ``expire_leases``).
-superseded      The attempt is certainly over: ``AttemptOutcomes.supersede`` [SUPERSEDED], called
-                by ``TaskReconciler`` when the task has exited or its absence proves something, by
-                ``CommandPlanner`` when a start is unwanted and was never listed, by
-                ``HeartbeatReconciler`` for a new incarnation, and for a lost machine. Its task may
-                start elsewhere.
-=============== ====================================================================================
+============ =======================================================================================
+claimed      The claim of a round is committed. ``ClaimApplier`` records the attempt through
+             ``ClusterState.apply_round`` [DISPATCHING] and passes it to ``CommandDispatcher.send``.
+             All other controllers, and the next leader, record it as [UNKNOWN].
+sent         ``CommandDispatcher`` sends a direct command; ``Fleet.on_start_sent`` calls ``on_sent``
+             before. Or ``CommandPlanner`` puts the start into the answer to a heartbeat, as long as
+             the worker does not list it; that way is not tracked here, because a worker drops an
+             answer that comes too late.
+acknowledged The worker responds to the direct command, or the command never left:
+             ``CommandDispatcher`` calls ``on_answered``.
+unanswered   No response in time: ``CommandDispatcher`` calls ``on_unanswered`` [UNKNOWN]. The
+             command may arrive at any time, even much later.
+listed       A heartbeat lists the attempt: ``TaskReconciler`` calls ``on_listed`` [CONFIRMED].
+             While it is listed, a late command has no effect. After a failover it is [UNKNOWN]
+             until it is listed again.
+void         The command can have no effect any more, because the worker has shown a higher fencing
+             token (``HeartbeatReconciler`` calls ``on_token_acknowledged``) or a new incarnation,
+             or its machine is lost (``HeartbeatReconciler`` and ``AttemptOutcomes.mark_lost`` call
+             ``on_incarnation_ended``), or its lease has expired (``FailureDetector.check`` calls
+             ``expire_leases``).
+superseded   The attempt is certainly over without being done: ``AttemptOutcomes.supersede``
+             [SUPERSEDED], called by ``TaskReconciler`` when the task has exited or its absence
+             proves something, by ``HeartbeatReconciler`` for a new incarnation, by ``mark_lost``,
+             and by ``CommandPlanner`` for an unwanted start that was never listed. The task may
+             start elsewhere.
+finished     The task is done: ``AttemptOutcomes.finish``. The next claim records it, and
+             ``ClusterState.release`` drops the attempt.
+============ =======================================================================================
 
 A worker executes a direct command as long as its fencing token and incarnation match, however late
 it arrives, and the sender cannot revoke it. From sent until acknowledged or void, a start is
 therefore held here: meanwhile the attempt is neither superseded for being absent from a heartbeat
 (``holds``) nor forgotten by its worker. Two means end that in time for a cancellation:
 
-- ``raise_reason``: the leader raises its fencing token, which makes earlier commands void on every
-  machine that gets an answer;
-- ``may_answer``: if the token cannot be raised, the worker gets no answer, and its lease expires.
+- ``raise_reason``, asked by the scheduling loop: the leader raises its fencing token, which makes
+  earlier commands void on every machine that gets an answer;
+- ``may_answer``, asked by ``HeartbeatHandler``: if the token cannot be raised, the worker gets no
+  answer, and its lease expires.
 """
 
 from __future__ import annotations
