--- a/petrelthread/emulator/cloud.py
+++ b/petrelthread/emulator/cloud.py
@@ -32,22 +32,22 @@
 
     def __init__(self, environment: SimulatedEnvironment) -> None:
         self._environment = environment
-        deployment = environment.made_of
+        deployment = environment.deployment
         self.machines: dict[str, RentedMachine] = {}
         self.granted: dict[str, list[str]] = {}  # machine names by idempotency key
         self.requests: dict[str, set[str]] = {}  # distinct request bodies by idempotency key
-        self.capacity = {True: deployment.spot, False: deployment.ordinary}  # by spot or not
+        self.capacity = {True: deployment.spot, False: deployment.on_demand}  # by spot or not
         self.used = {True: 0, False: 0}
         self.rented = 0
         self.down = False
 
-    async def handle(self, source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
+    async def handle(self, _source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         """Serve one request of any controller."""
         if self.down:
             return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "trouble"}
         url = urlsplit(target)
         if url.path == protocol.CATALOG_PATH:
-            return HTTPStatus.OK, {"hulls": list(self._environment.made_of.hulls)}
+            return HTTPStatus.OK, {"hulls": list(self._environment.deployment.machine_types)}
         if url.path == protocol.SCALE_IN_PATH:
             return self._scale_in(body["perches"])
         if method == "GET":
@@ -79,7 +79,7 @@
             for name, machine in self.machines.items()
             if now - machine.rented_at > LIST_LAG_S and name > after
         ]
-        limit = self._environment.made_of.pages
+        limit = self._environment.deployment.list_page_size
         return HTTPStatus.OK, {"perches": listed[:limit], "more": len(listed) > limit}
 
     @staticmethod
@@ -112,7 +112,7 @@
         return HTTPStatus.OK, {"perches": self.granted[key]}
 
     def _free_in_zone(self, zone: str) -> int:
-        capacity = self._environment.made_of.zone_capacity
+        capacity = self._environment.deployment.zone_capacity
         if capacity is None:
             return UNLIMITED_MACHINES
         return capacity - sum(m.description.zone == zone for m in self.machines.values())
--- a/petrelthread/emulator/demo.py
+++ b/petrelthread/emulator/demo.py
@@ -74,7 +74,7 @@
         self._say(f"started {len(environment.controllers)} controllers, state service and cloud")
         for job_id, kind in KINDS.items():
             self._say(f"submitting {job_id}: {kind}")
-        addresses = [environment.public_address(node) for node in environment.made_of.nodes]
+        addresses = [environment.public_address(node) for node in environment.deployment.nodes]
         users = Users(
             environment.checker, environment.net.requester("users"), addresses, environment.random
         )
--- a/petrelthread/emulator/environment.py
+++ b/petrelthread/emulator/environment.py
@@ -49,7 +49,7 @@
     """The controllers, and the machines that the cloud has."""
 
     @property
-    def hulls(self) -> tuple[dict[str, Any], ...]:
+    def machine_types(self) -> tuple[dict[str, Any], ...]:
         """The machine types of the cloud's catalogue, as it shows them."""
 
     @property
@@ -57,7 +57,7 @@
         """How many spot machines there are."""
 
     @property
-    def ordinary(self) -> int:
+    def on_demand(self) -> int:
         """How many on-demand machines there are."""
 
     @property
@@ -65,7 +65,7 @@
         """How many machines a zone has, or None without a limit."""
 
     @property
-    def pages(self) -> int:
+    def list_page_size(self) -> int:
         """How many machines a page of the cloud's list holds."""
 
     @property
@@ -127,13 +127,13 @@
     """Everything that the emulated programs share."""
 
     jobs: dict[str, dict[str, Any]]  # as submitted, by id
-    mistaken: set[str]  # jobs that fail on every machine
+    failing_jobs: set[str]  # jobs that fail on every machine
     limits: dict[str, float]  # cores by team
-    late_boots_s: float  # by how much machines rented now boot late
+    boot_delay_s: float  # by how much machines rented now boot late
     random: random.Random
 
     @property
-    def made_of(self) -> Deployment:
+    def deployment(self) -> Deployment:
         """The controllers and machines."""
 
     @property
@@ -158,8 +158,8 @@
     def public_address(self, node: str) -> str:
         """Where workers and users reach a controller."""
 
-    def is_bad(self, leg: str) -> bool:
+    def task_fails(self, task: str, /) -> bool:
         """Whether the task fails on every machine."""
 
-    def ran_s(self, leg: str) -> float:
+    def task_run_s(self, task: str, /) -> float:
         """How long the task runs, in seconds."""
--- a/petrelthread/emulator/invariant_checker.py
+++ b/petrelthread/emulator/invariant_checker.py
@@ -230,7 +230,7 @@
     def _free_cores(self) -> dict[str, float]:
         """Free cores of each machine that is up and works."""
         environment = self._environment
-        cores = float(environment.made_of.hulls[0]["cores"])
+        cores = float(environment.deployment.machine_types[0]["cores"])
         free = {
             name: cores
             for name, machine in environment.cloud.machines.items()
@@ -245,7 +245,7 @@
         environment = self._environment
         job = self._job_spec(job_id)
         is_over = self.statuses.get(job_id) in (None, *FINAL_STATUSES)
-        is_over = is_over or job_id in environment.mistaken
+        is_over = is_over or job_id in environment.failing_jobs
         tasks = self._tasks(job_id)
         has_waiting_task = any(
             task not in self.completed_tasks and not self.machines_by_task.get(task)
--- a/petrelthread/emulator/loopback.py
+++ b/petrelthread/emulator/loopback.py
@@ -171,7 +171,7 @@
 def forwarder(requester: RequestSender, address: str, timeout_s: float) -> RequestHandler:
     """A handler that passes requests on to an address."""
 
-    async def forward(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
+    async def forward(_source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         try:
             reply = await requester(address, method, target, body, timeout_s)
         except NoResponseError:
--- a/petrelthread/emulator/loopback_environment.py
+++ b/petrelthread/emulator/loopback_environment.py
@@ -16,7 +16,7 @@
 from petrelthread import protocol
 from petrelthread.emulator.cloud import Cloud
 from petrelthread.emulator.faults import CLOUD, STATE, LinkFaults
-from petrelthread.emulator.invariant_checker import InvariantChecker
+from petrelthread.emulator.invariant_checker import InvariantChecker, job_id_of
 from petrelthread.emulator.loopback import LoopbackNetwork, forwarder
 from petrelthread.emulator.processes import (
     CANCEL_S,
@@ -56,11 +56,11 @@
 
     machines: int
     nodes: tuple[str, ...]
-    pages: int = 500
+    list_page_size: int = 500
     step_s: float = 0.05
 
     @property
-    def hulls(self) -> tuple[dict[str, Any], ...]:
+    def machine_types(self) -> tuple[dict[str, Any], ...]:
         """The one machine type of the catalogue."""
         return (
             {
@@ -83,7 +83,7 @@
         return math.ceil(self.machines * SPOT_SHARE)
 
     @property
-    def ordinary(self) -> int:
+    def on_demand(self) -> int:
         """How many on-demand machines there are."""
         return self.machines - self.spot
 
@@ -99,12 +99,12 @@
     def __init__(self, seed: int, options: LoopbackOptions, directory: Path) -> None:
         self.random = random.Random(seed)
         names = tuple(f"node-{index}" for index in range(options.controllers))
-        self.made_of = LoopbackDeployment(options.machines, names)
+        self.deployment = LoopbackDeployment(options.machines, names)
         self.workers = Workers(report_s=REPORT_S, lease_s=LEASE_S, cancel_s=CANCEL_S)
         self.limits = {team: most or UNLIMITED for team, _, most in TEAMS}
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.mistaken: set[str] = set()
-        self.late_boots_s = 0.0
+        self.failing_jobs: set[str] = set()
+        self.boot_delay_s = 0.0
         self.run_s: dict[str, float] = {}
         self.faults = LinkFaults(self.random)
         self.net = LoopbackNetwork(self.faults)
@@ -130,20 +130,20 @@
         """Where workers and users reach a controller."""
         return self._public[node]
 
-    def is_bad(self, leg: str) -> bool:
+    def task_fails(self, _task: str) -> bool:
         """No job of a soak fails by itself; machines do."""
         return False
 
-    def ran_s(self, leg: str) -> float:
+    def task_run_s(self, task: str) -> float:
         """How long the task runs, in seconds."""
-        job_id = leg.rpartition("/")[0]
+        job_id = job_id_of(task)
         return math.inf if self.jobs[job_id]["shape"] == "service" else self.run_s[job_id]
 
     # ---- start and end -----------------------------------------------------------------------
 
     async def start(self) -> None:
         """Open the links, and start the controllers."""
-        for index, name in enumerate(self.made_of.nodes):
+        for index, name in enumerate(self.deployment.nodes):
             addresses = await self._addresses(name)
             text = settings_text(name, ZONES[index % len(ZONES)], addresses)
             controller = ControllerProcess(name, self._options.sources, self._directory, text)
@@ -152,7 +152,7 @@
 
     async def _addresses(self, name: str) -> Addresses:
         siblings = []
-        for other in self.made_of.nodes:
+        for other in self.deployment.nodes:
             if other != name:
                 pass_on = forwarder(self.net.requester(name), self._peers[other], PEER_TIMEOUT_S)
                 siblings.append((other, await self.net.link(name, other, pass_on)))
--- a/petrelthread/emulator/processes.py
+++ b/petrelthread/emulator/processes.py
@@ -19,6 +19,40 @@
 CANCEL_S = 16.0
 LIST_LAG_S = 4.0
 TXN_OPS = 8
+SETTINGS = """host_name = "{name}"
+zone = "{zone}"
+bind = "{public}"
+peer_listen = "{peer}"
+{siblings}[endpoints]
+cloud = "{cloud}"
+state = "{state}"
+[cluster]
+count = {count}
+zones = [{zones}]
+skew_ms = 100.0
+{teams}[[cluster.objectives]]
+kind = "finished"
+class = "batch"
+within_s = 60.0
+share = 0.8
+[[cluster.objectives]]
+kind = "wait"
+class = "rush"
+within_s = 5.0
+share = 0.8
+[cluster.workers]
+report_s = {report_s}
+lease_s = {lease_s}
+cancel_s = {cancel_s}
+[cluster.state]
+rps = 400.0
+write_rps = 120.0
+value_kb = 4.0
+txn_ops = {txn_ops}
+[cluster.cloud]
+rps = 20.0
+list_lag_s = {list_lag_s}
+"""
 
 
 @dataclass(frozen=True)
@@ -43,40 +77,23 @@
         f'[[cluster.teams]]\nname = "{team}"\ncpus = {cpus}\ncpus_max = {most}\n'
         for team, cpus, most in TEAMS
     )
-    return f"""host_name = "{name}"
-zone = "{zone}"
-bind = "{addresses.public}"
-peer_listen = "{addresses.peer}"
-{siblings}[endpoints]
-cloud = "{addresses.cloud}"
-state = "{addresses.state}"
-[cluster]
-count = {1 + len(addresses.siblings)}
-zones = [{zones}]
-skew_ms = 100.0
-{teams}[[cluster.objectives]]
-kind = "finished"
-class = "batch"
-within_s = 60.0
-share = 0.8
-[[cluster.objectives]]
-kind = "wait"
-class = "rush"
-within_s = 5.0
-share = 0.8
-[cluster.workers]
-report_s = {REPORT_S}
-lease_s = {LEASE_S}
-cancel_s = {CANCEL_S}
-[cluster.state]
-rps = 400.0
-write_rps = 120.0
-value_kb = 4.0
-txn_ops = {TXN_OPS}
-[cluster.cloud]
-rps = 20.0
-list_lag_s = {LIST_LAG_S}
-"""
+    return SETTINGS.format(
+        name=name,
+        zone=zone,
+        public=addresses.public,
+        peer=addresses.peer,
+        siblings=siblings,
+        cloud=addresses.cloud,
+        state=addresses.state,
+        count=1 + len(addresses.siblings),
+        zones=zones,
+        teams=teams,
+        report_s=REPORT_S,
+        lease_s=LEASE_S,
+        cancel_s=CANCEL_S,
+        txn_ops=TXN_OPS,
+        list_lag_s=LIST_LAG_S,
+    )
 
 
 def stamp_lines(source: IO[bytes], path: Path) -> None:
--- a/petrelthread/emulator/soak.py
+++ b/petrelthread/emulator/soak.py
@@ -88,7 +88,7 @@
         for job in jobs:
             environment.add_job(job)
         await environment.start()
-        addresses = [environment.public_address(node) for node in environment.made_of.nodes]
+        addresses = [environment.public_address(node) for node in environment.deployment.nodes]
         users = Users(
             environment.checker, environment.net.requester("users"), addresses, environment.random
         )
--- a/petrelthread/emulator/worker.py
+++ b/petrelthread/emulator/worker.py
@@ -102,7 +102,7 @@
             "legs": tasks,
         }
 
-    async def handle(self, source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
+    async def handle(self, _source: str, _method: str, target: str, body: Any) -> tuple[int, Any]:
         """Serve a direct command or a request for the heartbeat."""
         while self.frozen:
             await asyncio.sleep(FROZEN_POLL_S)
@@ -128,14 +128,14 @@
 
     async def _run(self) -> None:
         environment = self._environment
-        boot_s = environment.made_of.hulls[0]["startup_s"]
-        await asyncio.sleep(boot_s + environment.late_boots_s)
+        boot_s = environment.deployment.machine_types[0]["startup_s"]
+        await asyncio.sleep(boot_s + environment.boot_delay_s)
         self.up = True
         self.lease_renewed_at = self._now()
         environment.net.attach(self.machine.address, self.name, self.handle)
         environment.background(self._send_heartbeats())
         while not self.dead:
-            await asyncio.sleep(environment.made_of.step_s)
+            await asyncio.sleep(environment.deployment.step_s)
             if not self.frozen:
                 self._advance_tasks()
 
@@ -147,14 +147,14 @@
             is_running = run.state == protocol.TaskState.RUNNING
             if is_fetching and now >= run.changed_at + IMAGE_FETCH_S:
                 self._start_task(task, run, now)
-            elif is_running and now >= run.changed_at + self._environment.ran_s(task):
+            elif is_running and now >= run.changed_at + self._environment.task_run_s(task):
                 self.end_task(task, run, protocol.ExitCause.DONE)
 
     def _start_task(self, task: str, run: TaskRun, now: float) -> None:
         run.state = protocol.TaskState.RUNNING
         run.changed_at = now
         self._environment.checker.record_start(task, self.machine, now)
-        if self.faulty or self._environment.is_bad(task):
+        if self.faulty or self._environment.task_fails(task):
             self.end_task(task, run, protocol.ExitCause.ERROR)
 
     def _execute(self, orders: list[dict[str, Any]]) -> None:
@@ -186,7 +186,7 @@
 
     async def _send_heartbeats(self) -> None:
         request = self._environment.net.requester(self.name)
-        controllers = self._environment.made_of.nodes
+        controllers = self._environment.deployment.nodes
         while not self.dead:
             if self.frozen:
                 await asyncio.sleep(FROZEN_POLL_S)
@@ -219,7 +219,7 @@
                 self._execute(answer["orders"])
             jitter = self._environment.random.uniform(*HEARTBEAT_JITTER)
             return self._environment.workers.report_s * jitter
-        controllers = self._environment.made_of.nodes
+        controllers = self._environment.deployment.nodes
         leader = answer.get("home")
         if reply.status == HTTPStatus.MISDIRECTED_REQUEST and leader in controllers:
             self._controller = controllers.index(leader)
@@ -228,7 +228,7 @@
         return RETRY_S
 
     def _try_next_controller(self) -> None:
-        self._controller = (self._controller + 1) % len(self._environment.made_of.nodes)
+        self._controller = (self._controller + 1) % len(self._environment.deployment.nodes)
 
     # ---- helpers -----------------------------------------------------------------------------
 
--- a/petrelthread/emulator/workload.py
+++ b/petrelthread/emulator/workload.py
@@ -1,4 +1,4 @@
-"""The jobs of a soak, drawn from its seed: everything that the rules speak of."""
+"""The jobs of a soak, drawn from its seed. They cover all that the rules depend on."""
 
 from __future__ import annotations
 
@@ -10,26 +10,35 @@
 
 from petrelthread import protocol
 
-RANKS = ("low", "standard", "high", "prod")
-FINITE_TEAMS = ("red", "blue", "guest")
+PRIORITIES = ("low", "standard", "high", "prod")
+TEAMS = ("red", "blue", "guest")
+SERVICE_TEAMS = ("red", "blue")
 IMAGES = 4
-BACKLOG_AGE_S = (100.0, 260.0)  # the scheduler expects a job to have begun after 150 s
+BACKLOG_AGE_S = (100.0, 260.0)  # around the 150 s within which a job is expected to start
 CANCELLED_SHARE = 0.35
 CANCEL_AFTER_S = (0.0, 20.0)
-WHEN_RUNNING_SHARE = 0.6  # of the cancelled ones: while their first starts may be on the way
+CANCELLED_WHEN_RUNNING_SHARE = 0.6  # of the cancelled ones, whose first starts may be in flight
 SERVICE_SHARE = 0.12
 RUN_S = (1.0, 10.0)
 SINGLE_ZONE_SHARE = 0.4
 SPREAD_SHARE = 0.2
-OVERDUE_SINGLE_ZONE_SHARE = 0.7  # of the backlog
-
+BACKLOG_SINGLE_ZONE_SHARE = 0.7
+SPOT_SHARE = 0.8
+ZONE_SHARE = 0.1
+WITHOUT_DEADLINE_SHARE = 0.5
+DEADLINE_S = 60.0
+TASKS = (2, 6)
+MAX_REPLICAS = 4
 
 # The field of a submission for each attribute of the typed job.
 _FIELDS = {field.name: field.encode_name for field in msgspec.structs.fields(protocol.JobSpec)}
 
 
 def job_spec(job_id: str, tasks: int, **attributes: Any) -> dict[str, Any]:
-    """The JSON object of a submission. ``attributes``: of ``protocol.JobSpec``, or their fields."""
+    """The JSON object of a submission.
+
+    ``attributes`` are given by the names of ``protocol.JobSpec`` or of the JSON object.
+    """
     spec = {
         "name_id": job_id,
         "jobclass": "batch",
@@ -57,30 +66,32 @@
     """One job of the workload."""
 
     spec: dict[str, Any]
-    submit_s: float  # since the start; below 0: accepted so long before it, by an earlier life
+    submit_s: float  # since the start; if negative, it was accepted so long before the start
     cancel_after_s: float | None  # after its acceptance
     run_s: float  # of each task
     cancel_when_running: bool = False  # as soon as its user is told that it runs
 
     @property
     def job_id(self) -> str:
+        """The job's id."""
         return str(self.spec["name_id"])
 
     @property
     def service(self) -> bool:
+        """Whether the job is a service."""
         return bool(self.spec["shape"] == "service")
 
 
 def draw_jobs(
     randomness: random.Random, seconds: float, zones: tuple[str, ...], jobs: int, backlog: int
 ) -> list[PlannedJob]:
-    """``backlog`` jobs accepted before the start and ``jobs`` spread over ``seconds``."""
+    """Draw ``backlog`` jobs accepted before the start and ``jobs`` spread over ``seconds``."""
     numbers = randomness.sample(range(1, 1_000_000), jobs + backlog)
     planned = []
-    for at, number in enumerate(numbers):
+    for index, number in enumerate(numbers):
         job_id = f"wk-{number:06d}"
         submit_s = randomness.uniform(0.0, seconds)
-        if at < backlog:
+        if index < backlog:
             submit_s = -randomness.uniform(*BACKLOG_AGE_S)
         planned.append(_draw_job(randomness, job_id, submit_s, zones))
     return sorted(planned, key=lambda job: job.submit_s)
@@ -89,33 +100,35 @@
 def _draw_job(
     randomness: random.Random, job_id: str, submit_s: float, zones: tuple[str, ...]
 ) -> PlannedJob:
-    single_zone_share = SINGLE_ZONE_SHARE if submit_s >= 0 else OVERDUE_SINGLE_ZONE_SHARE
-    bound = randomness.random()
-    same_place = bound < single_zone_share
-    scatter = single_zone_share <= bound < single_zone_share + SPREAD_SHARE
-    service = submit_s >= 0 and not same_place and randomness.random() < SERVICE_SHARE
-    tasks = randomness.randint(2, 6)
+    single_zone_share = SINGLE_ZONE_SHARE if submit_s >= 0 else BACKLOG_SINGLE_ZONE_SHARE
+    draw = randomness.random()
+    single_zone = draw < single_zone_share
+    spread_zones = single_zone_share <= draw < single_zone_share + SPREAD_SHARE
+    is_service = submit_s >= 0 and not single_zone and randomness.random() < SERVICE_SHARE
+    tasks = randomness.randint(*TASKS)
     spec = job_spec(
         job_id,
-        min(tasks, 4) if service else tasks,
+        min(tasks, MAX_REPLICAS) if is_service else tasks,
         job_class=randomness.choice(("batch", "rush")),
-        team=randomness.choice(FINITE_TEAMS[:2] if service else FINITE_TEAMS),
-        kind="service" if service else "array",
-        priority="prod" if service else randomness.choice(RANKS),
-        cores=1.0 if service else randomness.choice((1.0, 2.0)),
+        team=randomness.choice(SERVICE_TEAMS if is_service else TEAMS),
+        kind="service" if is_service else "array",
+        priority="prod" if is_service else randomness.choice(PRIORITIES),
+        cores=1.0 if is_service else randomness.choice((1.0, 2.0)),
         ram_gb=1.0,
         image=f"img-{randomness.randrange(IMAGES)}",
-        single_zone=same_place,
-        spread_zones=scatter,
-        spot_allowed=randomness.random() < 0.8,
-        zone=randomness.choice(zones) if randomness.random() < 0.1 else None,
-        estimated_run_s=0.0 if service else round(randomness.uniform(*RUN_S), 1),
-        deadline_s=None if service or randomness.random() < 0.5 else 60.0,
+        single_zone=single_zone,
+        spread_zones=spread_zones,
+        spot_allowed=randomness.random() < SPOT_SHARE,
+        zone=randomness.choice(zones) if randomness.random() < ZONE_SHARE else None,
+        estimated_run_s=0.0 if is_service else round(randomness.uniform(*RUN_S), 1),
+        deadline_s=None
+        if is_service or randomness.random() < WITHOUT_DEADLINE_SHARE
+        else DEADLINE_S,
     )
-    if scatter:
-        spec["roost"] = None  # half of the tasks would never find a zone
-    cancel = not service and randomness.random() < CANCELLED_SHARE
-    when_running = cancel and randomness.random() < WHEN_RUNNING_SHARE
+    if spread_zones:
+        spec["roost"] = None  # in a single zone, half of the tasks could never run
+    cancel = not is_service and randomness.random() < CANCELLED_SHARE
+    when_running = cancel and randomness.random() < CANCELLED_WHEN_RUNNING_SHARE
     return PlannedJob(
         spec,
         submit_s,
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -58,12 +58,8 @@
     ) -> None:
         """Compose the parts.
 
-        Args:
-            context: Shared collaborators.
-            cleanup: Takes the keys of records to delete.
-            view: Jobs in the order in which they are served.
-            options: Returns the operators' present options.
-            zones_down: Indices of the zones that are cut off now; the collection is read live.
+        ``options`` returns the operators' present options. ``zones_down`` holds the zones that are
+        cut off; it is read live.
         """
         self._cluster_state = context.cluster_state
         self._fleet = context.fleet
--- a/petrelthread/provisioning/test_provisioner.py
+++ b/petrelthread/provisioning/test_provisioner.py
@@ -67,8 +67,8 @@
     """Jobs of the class have to start within 9 s, which is shorter than a usual or a slow boot."""
 
     async def scenario() -> None:
-        slow = ({**SMALL.hulls[0], "startup_s": startup_s},)
-        world = World(made_of=replace(SMALL, hulls=slow))
+        slow = ({**SMALL.machine_types[0], "startup_s": startup_s},)
+        world = World(deployment=replace(SMALL, machine_types=slow))
         world.run_s = 30.0
         await world.submit(job("wk-000001", 2))
         await asyncio.sleep(startup_s + 5.0)
--- a/petrelthread/provisioning/test_scale_out.py
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -30,7 +30,7 @@
     async def scenario() -> None:
         text = SMALL.text.replace("cpus_max = 12.0", "cpus_max = 4000.0")
         text = text.replace("rps = 10.0\nlist_lag_s", "rps = 1.0\nlist_lag_s")
-        world = World(1, replace(SMALL, text=text, spot=420, ordinary=0))
+        world = World(1, replace(SMALL, text=text, spot=420, on_demand=0))
         handle = world.cloud.handle
 
         async def cloud(
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tests.world import HULLS, SETTINGS, Deployment, World, job
+from tests.world import MACHINE_TYPES, SETTINGS, Deployment, World, job
 
 MACHINES = 970
 TEAMS = 16
@@ -44,9 +44,9 @@
         ],
         _teams(150.0, 1350.0),
     ),
-    hulls=({**HULLS[0], "startup_s": 10.0, "roosts": ["a"]},),
+    machine_types=({**MACHINE_TYPES[0], "startup_s": 10.0, "roosts": ["a"]},),
     spot=MACHINES,
-    ordinary=0,
+    on_demand=0,
     step_s=0.5,
 )
 THREE_ZONES = Deployment(
@@ -65,9 +65,9 @@
     ),
     nodes=("n0", "n1", "n2", "n3", "n4"),
     node_zones=("a", "b", "c"),
-    hulls=({**HULLS[0], "startup_s": 10.0, "roosts": ["a", "b", "c"]},),
+    machine_types=({**MACHINE_TYPES[0], "startup_s": 10.0, "roosts": ["a", "b", "c"]},),
     spot=MACHINES,
-    ordinary=0,
+    on_demand=0,
     step_s=0.5,
 )
 
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -28,7 +28,7 @@
     epoch_base_number,
 )
 from tests.virtual import play
-from tests.world import HULLS, SETTINGS, job
+from tests.world import MACHINE_TYPES, SETTINGS, job
 
 Params = ParamSpec("Params")
 
@@ -74,7 +74,7 @@
             self.cluster_state, lease_s=10.0, heartbeat_interval_s=1.0, lease_grace_s=20.0
         )
         self.fleet.epoch = EPOCH
-        small = msgspec.convert(HULLS[0], protocol.MachineType)
+        small = msgspec.convert(MACHINE_TYPES[0], protocol.MachineType)
         self.types = {self.names.machine_types.index(small.name): small}
         view = ClusterView(
             self.settings, self.cluster_state, self.fleet, lambda: self.types, RunTimeEstimates()
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -43,15 +43,15 @@
         world.run_s = 8.0
         await world.submit(job("wk-000001", 30, estimated_run_s=30.0))
         await world.running(6)
-        deaf = next(iter(world.cloud.machines))
-        worker: Worker = world.cloud.machines[deaf].worker
-        world.net.deaf.add(deaf)
+        unreachable = next(iter(world.cloud.machines))
+        worker: Worker = world.cloud.machines[unreachable].worker
+        world.net.not_receiving.add(unreachable)
         await asyncio.sleep(13.0)  # its lease has ended, and it has shown that
-        drawn = starts_recorded(world, deaf)
+        drawn = starts_recorded(world, unreachable)
         while not worker.dead:
             await asyncio.sleep(0.5)
             assert now() < 160.0, "it never went back"
-        assert starts_recorded(world, deaf) <= drawn + 2
+        assert starts_recorded(world, unreachable) <= drawn + 2
         await world.until_over(150.0)
 
     run(scenario)
@@ -62,15 +62,15 @@
         world.run_s = 4.0
         await world.submit(job("wk-000001", 60, estimated_run_s=30.0))
         await world.running(6)
-        deaf = next(iter(world.cloud.machines))
-        worker: Worker = world.cloud.machines[deaf].worker
-        world.net.deaf.add(deaf)
+        unreachable = next(iter(world.cloud.machines))
+        worker: Worker = world.cloud.machines[unreachable].worker
+        world.net.not_receiving.add(unreachable)
         await asyncio.sleep(5.0)
-        world.net.deaf.clear()
-        before = starts_recorded(world, deaf)
+        world.net.not_receiving.clear()
+        before = starts_recorded(world, unreachable)
         await asyncio.sleep(25.0)
         assert not worker.dead
-        assert starts_recorded(world, deaf) > before + 4
+        assert starts_recorded(world, unreachable) > before + 4
         await world.until_over(200.0)
 
     run(scenario)
@@ -82,10 +82,10 @@
     async def scenario(world: World) -> None:
         world.run_s = 30.0
         await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        legs = await world.running(6)
-        worker = world.where(legs[0])
+        task_ids = await world.running(6)
+        worker = world.where(task_ids[0])
         await asyncio.sleep(3.0)
-        world.net.deaf.add(worker.name)
+        world.net.not_receiving.add(worker.name)
         world.crash(await world.led())
         await asyncio.sleep(30.0)
         assert worker.dead
@@ -109,8 +109,8 @@
         for n in range(4):
             crew = "red" if n % 2 else "blue"
             await world.submit(job(f"wk-{n:06d}", 6, team=crew, estimated_run_s=20.0))
-        legs = await world.running(4)
-        lost = world.where(legs[0])
+        task_ids = await world.running(4)
+        lost = world.where(task_ids[0])
         world.net.cut |= {frozenset((lost.name, n)) for n in NODES}  # a session ends, or it goes
         await asyncio.sleep(12.0)
         first = await world.led()
@@ -266,7 +266,11 @@
         for n in range(75):
             await world.submit(job(f"wk-{n:06d}", 3, estimated_run_s=5.0))
             await asyncio.sleep(2.9)
-        begun = [at for leg, at in world.checker.started_at.items() if leg.startswith("wk-100000/")]
+        begun = [
+            at
+            for task_id, at in world.checker.started_at.items()
+            if task_id.startswith("wk-100000/")
+        ]
         assert begun
         assert min(begun) < large + 240.0
         served = [n for n in range(75) if world.checker.statuses.get(f"wk-{n:06d}") is not None]
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The stand-ins themselves: the judge sees what it is there for, the soak's command behaves."""
+"""The emulator itself: the invariant checker, faults, workload, and the soak's command."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 Scenario = Callable[[World], None]
 
 
-def judged(scenario: Scenario) -> list[str]:
-    """What the judge of a world holds against it after the scenario."""
+def violations_after(scenario: Scenario) -> list[str]:
+    """The violations that the checker reports after the scenario."""
 
     async def run() -> list[str]:
         world = World()
         scenario(world)
         return world.checker.violations
 
-    broken: list[str] = play(run())
-    return broken
+    violations: list[str] = play(run())
+    return violations
 
 
 def machine_of(number: int, zone: str, spot: bool = False) -> MachineDescription:
@@ -51,19 +51,19 @@
     return MachineDescription(name, f"{name}:9", "small", zone, spot)
 
 
-def start(world: World, leg: str, number: int, zone: str, spot: bool = False) -> None:
-    world.checker.recorded_tasks.add(leg)
-    world.checker.record_start(leg, machine_of(number, zone, spot), 0.0)
+def start(world: World, task_id: str, number: int, zone: str, spot: bool = False) -> None:
+    world.checker.recorded_tasks.add(task_id)
+    world.checker.record_start(task_id, machine_of(number, zone, spot), 0.0)
 
 
-# ---- the judge -----------------------------------------------------------------------------------
+# ---- invariant checker ---------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     ("flag", "third_zone"),
     [("same_place", "b"), ("scatter", "a")],  # a second zone; more than half in one zone
 )
-def test_a_third_task_in_the_wrong_zone_is_seen(flag: str, third_zone: str) -> None:
+def test_third_task_in_wrong_zone_is_reported(flag: str, third_zone: str) -> None:
     def scenario(world: World) -> None:
         world.jobs["wk-000001"] = job("wk-000001", 3, **{flag: True})
         start(world, "wk-000001/0", 1, "a")
@@ -71,17 +71,17 @@
         assert not world.checker.violations
         start(world, "wk-000001/2", 3, third_zone)
 
-    assert [text.partition(":")[0] for text in judged(scenario)] == ["wrong_place"]
+    assert [text.partition(":")[0] for text in violations_after(scenario)] == ["wrong_place"]
 
 
-def test_a_single_zone_job_may_go_elsewhere_once_all_its_tasks_have_left() -> None:
+def test_single_zone_job_may_change_zone_once_all_tasks_have_left() -> None:
     def scenario(world: World) -> None:
         world.jobs["wk-000001"] = job("wk-000001", 2, single_zone=True)
         start(world, "wk-000001/0", 1, "a")
         world.checker.record_leave("wk-000001/0", "host-000001")
         start(world, "wk-000001/0", 2, "b")
 
-    assert judged(scenario) == []
+    assert violations_after(scenario) == []
 
 
 @pytest.mark.parametrize(
@@ -92,27 +92,29 @@
         ({"driftwood": False}, True),
     ],
 )
-def test_a_machine_that_the_job_does_not_allow_is_seen(spec: dict[str, Any], spot: bool) -> None:
+def test_machine_that_job_does_not_allow_is_reported(spec: dict[str, Any], spot: bool) -> None:
     def scenario(world: World) -> None:
         world.jobs["wk-000001"] = job("wk-000001", 1, **spec)
         start(world, "wk-000001/0", 1, "a", spot)
 
-    assert [text.partition(":")[0] for text in judged(scenario)] == ["wrong_place"]
+    assert [text.partition(":")[0] for text in violations_after(scenario)] == ["wrong_place"]
 
 
-def test_a_start_without_a_record_and_a_second_start_are_seen() -> None:
+def test_unrecorded_and_second_start_are_reported() -> None:
     def scenario(world: World) -> None:
         world.jobs["wk-000001"] = job("wk-000001", 1)
         start(world, "wk-000001/0", 1, "a")
         world.checker.recorded_tasks.clear()
         world.checker.record_start("wk-000001/0", machine_of(2, "a"), 0.0)
 
-    assert [text.partition(":")[0] for text in judged(scenario)] == ["ran_twice", "no record"]
+    assert [text.partition(":")[0] for text in violations_after(scenario)] == [
+        "ran_twice",
+        "no record",
+    ]
 
 
-def test_tasks_of_a_hanging_machine_count_until_its_lease_has_run_out() -> None:
-    """Past it they can't go on: a soak (seed 101) took them for part of their team's use, though
-    the leader had rightly begun others in their place."""
+def test_tasks_of_hanging_machine_count_until_lease_expires() -> None:
+    """After that they cannot go on, and the leader may start others in their place."""
 
     async def run() -> list[str]:
         world = World()
@@ -125,9 +127,9 @@
         hanging.up = hanging.frozen = True
         hanging.lease_renewed_at = asyncio.get_running_loop().time()
         for task in range(6):
-            leg = f"wk-000001/{task}"
-            hanging.tasks[leg] = TaskRun(1, protocol.TaskState.RUNNING, 0.0)
-            start(world, leg, 1, "a")
+            task_id = f"wk-000001/{task}"
+            hanging.tasks[task_id] = TaskRun(1, protocol.TaskState.RUNNING, 0.0)
+            start(world, task_id, 1, "a")
         await asyncio.sleep(world.workers.lease_s - 0.5)
         start(world, "wk-000002/0", 2, "a")
         assert [text.partition(":")[0] for text in world.checker.violations] == ["quota"]
@@ -140,7 +142,7 @@
     assert play(run()) == []
 
 
-def test_only_jobs_that_users_ask_about_can_be_forgotten() -> None:
+def test_only_jobs_that_users_ask_about_count_as_forgotten() -> None:
     """The users of a soak stop asking once they know the final state."""
 
     async def run() -> list[str]:
@@ -160,7 +162,7 @@
 # ---- faults and workload -------------------------------------------------------------------------
 
 
-def test_a_seed_draws_the_same_faults_and_jobs_each_time() -> None:
+def test_seed_determines_faults_and_jobs() -> None:
     def drawn(seed: int) -> tuple[Any, Any]:
         randomness = random.Random(seed)
         return draw_faults(randomness, 60.0, 2.0), draw_jobs(randomness, 40.0, ("a", "b"), 30, 5)
@@ -169,7 +171,7 @@
     assert drawn(3) != drawn(4)
 
 
-def test_all_faults_end_in_time_and_all_kinds_come() -> None:
+def test_all_kinds_of_faults_occur_and_end_in_time() -> None:
     seen: Counter[FaultKind] = Counter()
     for seed in range(40):
         for fault in draw_faults(random.Random(seed), 40.0, 2.5):
@@ -178,8 +180,8 @@
     assert set(seen) == set(FaultKind)
 
 
-def test_held_commands_outlast_what_a_cancellation_has() -> None:
-    """Otherwise no soak could show that a start is possible for too long."""
+def test_held_commands_outlast_cancellation_limit() -> None:
+    """Otherwise no soak could show that starts are possible for too long."""
 
     async def run() -> None:
         links = LinkFaults(random.Random(1))
@@ -191,7 +193,7 @@
     play(run())
 
 
-def test_the_workload_has_all_that_the_rules_speak_of() -> None:
+def test_workload_covers_all_that_rules_depend_on() -> None:
     jobs = [
         planned
         for seed in range(10)
@@ -206,7 +208,7 @@
     assert any(planned.cancel_when_running for planned in jobs)
 
 
-def test_links_fail_as_they_are_told_to() -> None:
+def test_links_fail_as_set() -> None:
     links = LinkFaults(random.Random(1))
     assert links.fate("node-0", STATE, "/multi") == links.fate("node-0", "host-1", "/do")
     links.cut.add(frozenset(("node-0", STATE)))
@@ -222,9 +224,8 @@
     assert links.copy_delay_s("/checkin") is None
 
 
-def test_a_reserved_port_goes_to_nobody_else_and_can_be_listened_on() -> None:
-    """Two soaks at once: a controller of one could not listen, the users of one asked the other's
-    controllers and were told 404 (seed 107)."""
+def test_reserved_port_is_exclusive_and_can_be_listened_on() -> None:
+    """Otherwise a soak could reach the controllers of another soak on the same host."""
 
     async def listen() -> None:
         with reserve_port() as reserved:
@@ -253,7 +254,7 @@
         ["--sources", "/nonexistent"],
     ],
 )
-def test_wrong_arguments_end_with_2(
+def test_wrong_arguments_exit_with_2(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     try:
@@ -264,7 +265,7 @@
     assert arguments[0] in capsys.readouterr().err
 
 
-def test_a_broken_rule_is_shown_with_evidence_and_the_command_that_plays_it_again() -> None:
+def test_violation_is_shown_with_evidence_and_command_to_repeat() -> None:
     result = SeedResult(7, jobs=3, done=2, violations=["quota: red"], evidence=["1.0 something"])
     text = shown(result, LoopbackOptions(seconds=9.0, controllers=5, machines=6))
     assert "seed 7: BROKEN" in text and "quota: red" in text and "1.0 something" in text
@@ -294,7 +295,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupt_ends_all_its_processes(number: signal.Signals) -> None:
+def test_interrupt_ends_all_processes(number: signal.Signals) -> None:
     command = [sys.executable, str(ROOT / "run.py"), "soak", "--seconds", "60"]
     soak = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     try:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,9 +16,9 @@
 Scenario = Callable[[World], Awaitable[None]]
 
 
-def run(scenario: Scenario, seed: int = 1, made_of: Deployment = SMALL) -> World:
+def run(scenario: Scenario, seed: int = 1, deployment: Deployment = SMALL) -> World:
     async def main() -> World:
-        world = World(seed, made_of)
+        world = World(seed, deployment)
         await scenario(world)
         await world.calm(80.0)  # late messages get their chance
         assert not world.checker.violations, world.checker.violations
@@ -63,8 +63,8 @@
         await world.until_over(60.0)
         assert lost == 2
 
-    hulls = tuple({**hull, "startup_s": startup_s} for hull in SMALL.hulls)
-    world = run(scenario, made_of=replace(SMALL, hulls=hulls))
+    machine_types = tuple({**kind, "startup_s": startup_s} for kind in SMALL.machine_types)
+    world = run(scenario, deployment=replace(SMALL, machine_types=machine_types))
     assert world.cloud.rented <= 3  # 4 tasks of 2 cores on machines of 4: repeated, not rented anew
 
 
@@ -284,8 +284,8 @@
     async def scenario(world: World) -> None:
         world.run_s = 12.0
         await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        legs = await world.running(6)
-        lost = world.where(legs[0])
+        task_ids = await world.running(6)
+        lost = world.where(task_ids[0])
         world.net.cut |= {frozenset((lost.name, n)) for n in NODES}
         await world.submit(job("wk-000002", 2, team="blue"))
         await world.until_over(120.0)
@@ -297,8 +297,8 @@
     async def scenario(world: World) -> None:
         world.run_s = 12.0
         await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        legs = await world.running(6)
-        worker = world.where(legs[0])
+        task_ids = await world.running(6)
+        worker = world.where(task_ids[0])
         worker.frozen = True
         await asyncio.sleep(5.0)
         worker.frozen = False
@@ -310,8 +310,8 @@
 def test_faulty_machine_goes_back_and_its_job_completes_elsewhere() -> None:
     async def scenario(world: World) -> None:
         await world.submit(job("wk-000001", 4))
-        legs = await world.running(2)
-        sick = world.where(legs[0])
+        task_ids = await world.running(2)
+        sick = world.where(task_ids[0])
         sick.faulty = True
         await world.submit(job("wk-000002", 6, team="blue"))
         await world.until_over(150.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -51,9 +51,9 @@
             return
 
 
-def run(scenario: Scenario, made_of: Deployment) -> World:
+def run(scenario: Scenario, deployment: Deployment) -> World:
     async def main() -> World:
-        world = World(1, made_of)
+        world = World(1, deployment)
         load = Load(world)
         await at_work(world, load)
         await scenario(world, load)
@@ -62,8 +62,8 @@
         await world.poll()
         assert not world.checker.violations, world.checker.violations
         first = {job_id: 1e9 for job_id in world.jobs}
-        for leg, at in world.checker.started_at.items():
-            job_id = leg.rpartition("/")[0]
+        for task_id, at in world.checker.started_at.items():
+            job_id = task_id.rpartition("/")[0]
             first[job_id] = min(first[job_id], at)
         late = {j: at - load.asked[j] for j, at in first.items() if at - load.asked[j] > BEGUN_S}
         assert not late, late
@@ -74,17 +74,17 @@
 
 
 def crash_all(world: World) -> None:
-    for name in world.made_of.nodes:
+    for name in world.deployment.nodes:
         world.crash(name)
 
 
 def boot_all(world: World) -> None:
-    for name in world.made_of.nodes:
+    for name in world.deployment.nodes:
         world.boot(name)
 
 
-@pytest.mark.parametrize("made_of", [ONE_ZONE, THREE_ZONES], ids=["one zone", "three zones"])
-def test_all_controllers_crash_twice(made_of: Deployment) -> None:
+@pytest.mark.parametrize("deployment", [ONE_ZONE, THREE_ZONES], ids=["one zone", "three zones"])
+def test_all_controllers_crash_twice(deployment: Deployment) -> None:
     async def scenario(world: World, load: Load) -> None:
         for pause in (3.0, 0.2):
             crash_all(world)
@@ -93,7 +93,7 @@
             await asyncio.sleep(1.0)
         await settled(world)
 
-    world = run(scenario, made_of)
+    world = run(scenario, deployment)
     # Nothing was lost but what the wait for answers cost: no lease ran out.
     assert sum(m.worker.killed_by_lease for m in world.cloud.machines.values()) == 0
 
@@ -118,9 +118,15 @@
 
 def test_a_zone_is_cut_off_for_longer_than_a_lease() -> None:
     async def scenario(world: World, load: Load) -> None:
-        inside = {n for n in world.made_of.nodes if world.made_of.zone_of(n) == "c"}
+        inside = {n for n in world.deployment.nodes if world.deployment.zone_of(n) == "c"}
         inside |= {n for n, m in world.cloud.machines.items() if m.description.zone == "c"}
-        outside = {"state", "cloud", "user", *world.made_of.nodes, *world.cloud.machines} - inside
+        outside = {
+            "state",
+            "cloud",
+            "user",
+            *world.deployment.nodes,
+            *world.cloud.machines,
+        } - inside
         pairs = [(a, b) for a in inside for b in outside if not a[:5] == b[:5] == "host-"]
         cuts = {frozenset(pair) for pair in pairs}
         world.net.cut |= cuts
@@ -150,13 +156,13 @@
     """What reaches the old leader while it stands still is as old as that when it goes on."""
 
     async def scenario(world: World, load: Load) -> None:
-        for name in world.made_of.nodes:
+        for name in world.deployment.nodes:
             world.crash(name)
             await asyncio.sleep(3.0)
             world.boot(name)
         await settled(world)
         old = await world.led()
-        others = {"state", "cloud", "user", *world.made_of.nodes, *world.cloud.machines} - {old}
+        others = {"state", "cloud", "user", *world.deployment.nodes, *world.cloud.machines} - {old}
         still = {frozenset((old, other)) for other in others}
         world.net.cut |= still
         await asyncio.sleep(world.workers.lease_s + 6.0)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -99,7 +99,7 @@
 def test_what_this_version_writes_is_read_by_the_one_in_production() -> None:
     async def main() -> None:
         world = World()
-        world.mistaken.add("wk-000002")
+        world.failing_jobs.add("wk-000002")
         world.spread_s = 6.0
         for n in range(4):
             await world.submit(job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2]))
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -240,13 +240,15 @@
     async def scenario() -> None:
         world = World()
         hosts = RecordedHosts(world)
-        world.mistaken.add("wk-000002")
+        world.failing_jobs.add("wk-000002")
         world.spread_s = 6.0
         for n in range(4):
             await world.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], due_s=90.0))
         await world.submit(job("wk-000009", 2, crew="guest", shape="service", rank="prod"))
         running = await world.running(8)
-        await world.cancel(next(leg[:9] for leg in running if not leg.startswith("wk-000009")))
+        await world.cancel(
+            next(task_id[:9] for task_id in running if not task_id.startswith("wk-000009"))
+        )
         await asyncio.sleep(20.0)
         world.crash(await world.led())
         await asyncio.sleep(70.0)
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -113,9 +113,9 @@
 
 async def machines_stop_hearing(world: World, held: HeldStarts, leader: str) -> None:
     """Their reports arrive, the answers don't reach them."""
-    world.net.deaf |= set(world.cloud.machines)
+    world.net.not_receiving |= set(world.cloud.machines)
     await asyncio.sleep(world.random.uniform(5.0, 40.0))
-    world.net.deaf.clear()
+    world.net.not_receiving.clear()
 
 
 async def writes_are_lost(world: World, held: HeldStarts, leader: str) -> None:
@@ -332,7 +332,7 @@
         sent_at = now()
         assert await node.election.raise_fencing_token()
         running = world.checker.machines_by_task
-        while sum(leg.startswith("wk-000003") for leg, on in running.items() if on) < 2:
+        while sum(task_id.startswith("wk-000003") for task_id, on in running.items() if on) < 2:
             await asyncio.sleep(0.1)
             assert now() < sent_at + 2.75  # 1.5 s on its way, 1 s to fetch the image
         assert not node.fleet.unacknowledged_starts.count()
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -64,7 +64,7 @@
         else:
             world.net.fate = fate
         # The watch that is still open tells one more change; what comes after it stays unread.
-        world.run_s_of["wk-000003"] = 1.0
+        world.run_s_by_job["wk-000003"] = 1.0
         await world.submit(job("wk-000003", 1, team="guest"), nodes=others(leader))
         await asyncio.sleep(0.1)
         confirmed = 0
@@ -129,14 +129,14 @@
         await world.submit(job("wk-000001", 4, estimated_run_s=100.0))
         await world.running(4)
         leader = await world.led()
-        deaf = set(world.cloud.machines)
-        world.net.deaf |= deaf  # so that the halts sent at once are lost
+        unreachable = set(world.cloud.machines)
+        world.net.not_receiving |= unreachable  # so that the halts sent at once are lost
         assert await cancelled_at(world, "wk-000001", list(NODES))
         await asyncio.sleep(0.5)
         world.store.set_outage(True)
         await asyncio.sleep(4.0)
         assert world.nodes[leader].election.role is Role.LEASE_GRACE
-        world.net.deaf -= deaf
+        world.net.not_receiving -= unreachable
         await asyncio.sleep(4.0)
         assert not any(world.checker.machines_by_task.values())
         world.store.set_outage(False)
@@ -298,7 +298,9 @@
         await asyncio.sleep(8.0)  # its machines are up meanwhile
         world.net.fate = None
         await world.until_over(60.0)
-        assert not [leg for leg in world.checker.started_at if leg.startswith("wk-000001/")]
+        assert not [
+            task_id for task_id in world.checker.started_at if task_id.startswith("wk-000001/")
+        ]
 
     run(scenario)
 
@@ -306,7 +308,7 @@
 # ---- cancelled while machines can't be asked, and the leader changes ---------------------------
 
 
-@pytest.mark.parametrize("lost", ["cut", "hangs", "deaf"])
+@pytest.mark.parametrize("lost", ["cut", "hangs", "not receiving"])
 @pytest.mark.parametrize("change", ["crash", "quick", "refused", "still"])
 def test_every_team_at_its_limit_while_jobs_on_lost_machines_are_cancelled(
     lost: str, change: str
@@ -319,14 +321,14 @@
             await world.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=60.0)
             )
-        legs = await world.running(12)  # both limits of 12 cores
-        first = {leg.rpartition("/")[0] for leg in legs}
-        names = {world.where(leg).name for leg in legs[:5]}
+        task_ids = await world.running(12)  # both limits of 12 cores
+        first = {task_id.rpartition("/")[0] for task_id in task_ids}
+        names = {world.where(task_id).name for task_id in task_ids[:5]}
         workers = [world.cloud.machines[name].worker for name in names]
         if lost == "cut":
             world.net.cut |= {frozenset((name, node)) for name in names for node in NODES}
-        elif lost == "deaf":
-            world.net.deaf |= names
+        elif lost == "not receiving":
+            world.net.not_receiving |= names
         else:
             for worker in workers:
                 worker.frozen = True
@@ -347,7 +349,7 @@
             world.checker.check_cancellations()
         for worker in workers:
             worker.frozen = False
-        world.net.deaf.clear()
+        world.net.not_receiving.clear()
         world.net.cut.clear()
         world.checker.faults_ended_at = now()
         for _ in range(40):
@@ -397,7 +399,7 @@
         await cancelling
         await asyncio.sleep(12.0)
         running = world.checker.machines_by_task
-        left = {leg.rpartition("/")[0] for leg, machines in running.items() if machines}
+        left = {task_id.rpartition("/")[0] for task_id, machines in running.items() if machines}
         assert not left & set(world.checker.cancelled_at)
         world.checker.faults_ended_at = now()
         await world.until_over(150.0)
@@ -434,7 +436,11 @@
         world.checker.faults_ended_at = now()
         await world.until_over(200.0)
 
-    run(scenario, seed, replace(SMALL, hulls=({**SMALL.hulls[0], "startup_s": 0.3},)))
+    run(
+        scenario,
+        seed,
+        replace(SMALL, machine_types=({**SMALL.machine_types[0], "startup_s": 0.3},)),
+    )
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.3, 1.0, 4.0])
@@ -458,8 +464,8 @@
             await world.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
             )
-        legs = await world.running(6)
-        lost = world.where(legs[0])
+        task_ids = await world.running(6)
+        lost = world.where(task_ids[0])
         world.net.cut |= {frozenset((lost.name, node)) for node in NODES}  # its session ends
         await asyncio.sleep(11.0)
         world.net.cut.clear()
@@ -526,7 +532,7 @@
         await asyncio.sleep(6.0)
         names = set(world.cloud.machines)
         workers = [m.worker for m in world.cloud.machines.values()]
-        world.net.mute |= names
+        world.net.not_sending |= names
         await asyncio.sleep(2.0)
         leader = await world.led()
         cuts = {frozenset((leader, other)) for other in ("state", "cloud", *others(leader))}
@@ -547,7 +553,7 @@
         if change == "crash":
             world.boot(leader)
         world.net.cut.clear()
-        world.net.mute.clear()
+        world.net.not_sending.clear()
         world.checker.faults_ended_at = now()
         await world.until_over(200.0)
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -77,7 +77,7 @@
             await world.cancel(f"wk-{n:06d}")
         await world.until_over(60.0)
 
-    run(scenario, made_of=replace(SMALL, spot=6, ordinary=0))
+    run(scenario, deployment=replace(SMALL, spot=6, on_demand=0))
 
 
 # ---- jobs submitted with a mistake, and faulty machines ----------------------------------------
@@ -87,7 +87,7 @@
     """Two of them made every machine that ran them look faulty; a new leader judges anew."""
 
     async def scenario(world: World) -> None:
-        world.mistaken |= {"wk-000001", "wk-000002"}
+        world.failing_jobs |= {"wk-000001", "wk-000002"}
         for n in range(1, 7):
             await world.submit(
                 job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
@@ -98,7 +98,9 @@
         await asyncio.sleep(10.0)
         node = world.nodes[await world.led()]
         assert tries_of(world, "wk-000001") <= begun + 2  # the new leader knows
-        tries = [leg for leg in world.checker.started_at if leg.startswith("wk-000001/")]
+        tries = [
+            task_id for task_id in world.checker.started_at if task_id.startswith("wk-000001/")
+        ]
         assert len(tries) < 12  # a full start, then one at a time
         said = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
         assert "fails everywhere" in said, said
@@ -110,7 +112,7 @@
         starts = world.checker.start_count
         await asyncio.sleep(60.0)
         assert world.checker.start_count - starts <= 6  # tried at a growing distance
-        for broken in sorted(world.mistaken):
+        for broken in sorted(world.failing_jobs):
             assert await world.cancel(broken) == "aborted"
         await world.until_over(60.0)
         await asyncio.sleep(5.0)
@@ -121,7 +123,7 @@
 
 def test_faulty_machines_are_told_from_broken_jobs() -> None:
     async def scenario(world: World) -> None:
-        world.mistaken |= {"wk-000001"}
+        world.failing_jobs |= {"wk-000001"}
         for n in range(1, 5):
             await world.submit(
                 job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
@@ -144,7 +146,7 @@
     async def scenario(world: World) -> None:
         await world.submit(job("wk-000001", 30, estimated_run_s=5.0))
         await world.submit(job("wk-000002", 30, team="blue", estimated_run_s=5.0))
-        world.bad_tasks |= {f"wk-000001/{n}" for n in (0, 1, 2, 3, 7)}
+        world.failing_tasks |= {f"wk-000001/{n}" for n in (0, 1, 2, 3, 7)}
         await asyncio.sleep(75.0)
         node = world.nodes[await world.led()]
         assert node.cluster_state.jobs_by_id["wk-000001"].done_count == 25
@@ -155,7 +157,7 @@
         assert "all that waits has failed before" in explain_waiting(
             node, node.cluster_state.jobs_by_id["wk-000001"], now()
         )
-        world.bad_tasks.clear()
+        world.failing_tasks.clear()
         await world.until_over(100.0)
 
     run(scenario)
@@ -204,7 +206,7 @@
     async def scenario(world: World) -> None:
         world.run_s = 60.0
         await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        machines = {world.where(leg).name for leg in await world.running(6)}
+        machines = {world.where(task_id).name for task_id in await world.running(6)}
         old = await world.led()
         world.store.set_outage(True)
         await world.stand_still(old, 14.0)
@@ -329,11 +331,11 @@
 @pytest.mark.parametrize("never", [False, True])
 def test_machines_late_in_booting_or_never_up_are_replaced(never: bool) -> None:
     async def scenario(world: World) -> None:
-        world.late_boots_s = 900.0 if never else 25.0
+        world.boot_delay_s = 900.0 if never else 25.0
         await world.submit(job("wk-000001", 8, estimated_run_s=5.0))
         await asyncio.sleep(3.0)
         first = set(world.cloud.machines)
-        world.late_boots_s = 0.0
+        world.boot_delay_s = 0.0
         await asyncio.sleep(17.0)
         others = set(world.cloud.machines) - first
         assert others  # late ones are not counted on any more
@@ -351,13 +353,23 @@
 # ---- several troubles at once, drawn ------------------------------------------------------------
 
 
-KINDS = ["crash", "still", "refused", "outage", "no workers", "alone", "deaf", "hangs", "copies"]
-KINDS += ["late boots", "lost", "faulty", "mute"]
+KINDS = [
+    "crash",
+    "still",
+    "refused",
+    "outage",
+    "no workers",
+    "alone",
+    "not receiving",
+    "hangs",
+    "copies",
+]
+KINDS += ["late boots", "lost", "faulty", "not sending"]
 
 
 async def trouble(world: World, chance: random.Random) -> None:
     """One of all those we know, for a while."""
-    node = chance.choice(list(world.made_of.nodes))
+    node = chance.choice(list(world.deployment.nodes))
     if chance.random() < 0.5 and world.leader is not None:
         node = world.leader
     for_s = chance.choice([0.1, 1.5, 4.0, 12.0, 25.0])
@@ -394,20 +406,20 @@
         await asyncio.sleep(for_s)
         world.net.copy = lambda *request: None
     elif kind == "late boots":
-        world.late_boots_s = for_s
+        world.boot_delay_s = for_s
         await asyncio.sleep(15.0)
-        world.late_boots_s = 0.0
+        world.boot_delay_s = 0.0
     elif machines:
         name = chance.choice(sorted(machines))
         worker: Worker = world.cloud.machines[name].worker
-        if kind == "deaf":
-            world.net.deaf.add(name)
+        if kind == "not receiving":
+            world.net.not_receiving.add(name)
             await asyncio.sleep(for_s)
-            world.net.deaf.discard(name)
-        elif kind == "mute":
-            world.net.mute.add(name)
+            world.net.not_receiving.discard(name)
+        elif kind == "not sending":
+            world.net.not_sending.add(name)
             await asyncio.sleep(for_s)
-            world.net.mute.discard(name)
+            world.net.not_sending.discard(name)
         elif kind == "hangs":
             worker.frozen = True
             await asyncio.sleep(for_s)
@@ -425,7 +437,7 @@
     async def scenario(world: World) -> None:
         chance = random.Random(seed)
         world.spread_s = 8.0
-        world.mistaken.add("wk-000003")
+        world.failing_jobs.add("wk-000003")
         for n in range(10):
             crew = ("red", "blue", "guest")[n % 3]
             rank = "low" if crew == "guest" else chance.choice(["standard", "high"])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,7 +16,7 @@
     text = SMALL.text.replace("[cluster.workers]", goals + "[cluster.workers]")
 
     async def scenario() -> None:
-        world = World(1, replace(SMALL, text=text, spot=5, ordinary=0))
+        world = World(1, replace(SMALL, text=text, spot=5, on_demand=0))
         world.run_s = 60.0
         await world.submit(job("wk-000001", 30))
         await world.submit(job("wk-000002", 30, team="blue"))
@@ -35,7 +35,7 @@
     """It came first in the order, and so got the room of its own stop, again and again."""
 
     async def scenario() -> None:
-        world = World(1, replace(SMALL, spot=2, ordinary=0))
+        world = World(1, replace(SMALL, spot=2, on_demand=0))
         world.run_s = 40.0
         await world.submit(
             job("wk-000001", 2, estimated_run_s=40.0)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -62,8 +62,10 @@
             assert world.checker.statuses[job_id] not in ("done", "aborted")
             await world.cancel(job_id)
     await asyncio.sleep(12.0)
-    left = [leg for leg, machines in world.checker.machines_by_task.items() if machines]
-    assert not [leg for leg in left if leg.rpartition("/")[0] in world.checker.cancelled_at]
+    left = [task_id for task_id, machines in world.checker.machines_by_task.items() if machines]
+    assert not [
+        task_id for task_id in left if task_id.rpartition("/")[0] in world.checker.cancelled_at
+    ]
     await world.until_over(60.0)
 
 
@@ -81,7 +83,7 @@
             0,
             3,
         )
-        assert sum(leg.startswith("wk-000001") for leg in world.checker.started_at) == 3
+        assert sum(task_id.startswith("wk-000001") for task_id in world.checker.started_at) == 3
         await end(world)
 
     world = run(scenario)
@@ -106,13 +108,17 @@
 
 
 LOSSES: dict[str, Callable[[World, Any, str], None]] = {
-    "machine ends": lambda world, worker, leg: worker.kill(),
-    "machine cut": lambda world, worker, leg: world.net.cut.update(
+    "machine ends": lambda world, worker, task_id: worker.kill(),
+    "machine cut": lambda world, worker, task_id: world.net.cut.update(
         frozenset((worker.name, node)) for node in NODES
     ),
-    "machine hangs": lambda world, worker, leg: setattr(worker, "frozen", True),
-    "replica fails": lambda world, worker, leg: worker.end_task(leg, worker.tasks[leg], "error"),
-    "replica ends": lambda world, worker, leg: worker.end_task(leg, worker.tasks[leg], "done"),
+    "machine hangs": lambda world, worker, task_id: setattr(worker, "frozen", True),
+    "replica fails": lambda world, worker, task_id: worker.end_task(
+        task_id, worker.tasks[task_id], "error"
+    ),
+    "replica ends": lambda world, worker, task_id: worker.end_task(
+        task_id, worker.tasks[task_id], "done"
+    ),
 }
 
 
@@ -126,11 +132,11 @@
         await world.submit(job("wk-000002", 30, team="blue", estimated_run_s=5.0))
         await served(world, 20.0)
         await asyncio.sleep(10.0)
-        leg = "wk-000001/0"
+        task_id = "wk-000001/0"
         while not all(f"wk-000002/{n}" in world.checker.completed_tasks for n in range(30)):
             await asyncio.sleep(0.5)
         before = world.checker.start_count
-        LOSSES[loss](world, world.where(leg), leg)
+        LOSSES[loss](world, world.where(task_id), task_id)
         if change in ("leader ends", "all end"):
             names = [await world.led()] if change == "leader ends" else list(NODES)
             for name in names:
@@ -167,17 +173,17 @@
             crew = "blue" if n == 2 else "guest"
             await world.submit(job(f"wk-{n:06d}", 40, team=crew, estimated_run_s=40.0))
         await asyncio.sleep(20.0)
-        ordinary = [m for m in world.cloud.machines.values() if not m.description.spot]
-        assert len(ordinary) == 3  # all there are; what the replicas leave free runs other work
-        world.late_boots_s = 60.0
+        on_demand = [m for m in world.cloud.machines.values() if not m.description.spot]
+        assert len(on_demand) == 3  # all there are; what the replicas leave free runs other work
+        world.boot_delay_s = 60.0
         world.where("wk-000001/0").kill()
         assert await served(world, 30.0) < 14.0
-        world.late_boots_s = 0.0
+        world.boot_delay_s = 0.0
         for n in (2, 3):
             await world.cancel(f"wk-{n:06d}")
         await end(world)
 
-    run(scenario, made_of=replace(SMALL, ordinary=3))
+    run(scenario, deployment=replace(SMALL, on_demand=3))
 
 
 def test_replicas_are_spread_over_machines_and_zones() -> None:
@@ -211,17 +217,17 @@
         await asyncio.sleep(12.0)
         sick = world.where("wk-000001/0")
         sick.faulty = True
-        for leg, entry in list(sick.tasks.items()):
-            if leg.startswith("wk-000001"):
-                sick.end_task(leg, entry, "error")
+        for task_id, entry in list(sick.tasks.items()):
+            if task_id.startswith("wk-000001"):
+                sick.end_task(task_id, entry, "error")
         await asyncio.sleep(0.3)
         assert await served(world, 30.0) < 15.0
         await asyncio.sleep(10.0)
         machines = {world.where(f"wk-000001/{n}") for n in range(6)}
         assert len(machines) > 2
         for worker in machines:  # all at once, so that none is left to speak for the job
-            for leg, entry in list(worker.tasks.items()):
-                worker.end_task(leg, entry, "error")
+            for task_id, entry in list(worker.tasks.items()):
+                worker.end_task(task_id, entry, "error")
         await asyncio.sleep(0.3)
         assert await served(world, 30.0) < 6.0
         await end(world)
@@ -299,8 +305,10 @@
             await world.submit(job(f"wk-{n + 10:06d}", 4, team=crew, estimated_run_s=30.0))
         await served(world, 30.0)
         await asyncio.sleep(5.0)
-        starts = {leg: at for leg, at in world.checker.started_at.items() if leg < "wk-000010"}
-        machines = {world.where(leg).name for leg in starts}
+        starts = {
+            task_id: at for task_id, at in world.checker.started_at.items() if task_id < "wk-000010"
+        }
+        machines = {world.where(task_id).name for task_id in starts}
         leader = await world.led()
         world.net.cut |= {frozenset((leader, name)) for name in world.cloud.machines}
         await asyncio.sleep(15.0)
--- a/tests/test_take_over.py
+++ b/tests/test_take_over.py
@@ -23,18 +23,18 @@
     async def scenario(world: World) -> None:
         world.run_s = 60.0
         await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        legs = await world.running(6)
+        task_ids = await world.running(6)
         old = await world.led()
-        lost = world.where(legs[0])
-        gone = [leg for leg in legs if world.where(leg) is lost]
+        lost = world.where(task_ids[0])
+        gone = [task_id for task_id in task_ids if world.where(task_id) is lost]
         world.net.cut.update(frozenset((lost.name, node)) for node in world.nodes)
         world.crash(old)
         while world.leader is None:
             await asyncio.sleep(0.05)
         elected = now()
         while not all(
-            any(name != lost.name for name in world.checker.machines_by_task.get(leg, ()))
-            for leg in gone
+            any(name != lost.name for name in world.checker.machines_by_task.get(task_id, ()))
+            for task_id in gone
         ):
             await asyncio.sleep(0.05)
             assert now() - elected < RESTARTED_S
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
-"""The stand-ins of ``petrelthread.emulator`` in virtual time, with controllers in one process.
+"""The emulated programs in virtual time, with the controllers in the same process.
 
-The judge looks at every start and every answer as it happens, so a scenario is judged by its whole
-course.
+The invariant checker sees every start and every answer as it happens, so that a scenario is checked
+over its whole course.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
 rps = 10.0
 list_lag_s = 4.0
 """
-HULLS: list[dict[str, Any]] = [
+MACHINE_TYPES: list[dict[str, Any]] = [
     {
         "sku": "small",
         "cores": 4.0,
@@ -103,11 +103,11 @@
     text: str = SETTINGS
     nodes: tuple[str, ...] = NODES
     node_zones: tuple[str, ...] = ("a",)
-    hulls: tuple[dict[str, Any], ...] = tuple(HULLS)
+    machine_types: tuple[dict[str, Any], ...] = tuple(MACHINE_TYPES)
     spot: int = 6
-    ordinary: int = 6
+    on_demand: int = 6
     step_s: float = 0.1  # how finely workers' time goes on
-    pages: int = 500  # machines in one page of the cloud's list
+    list_page_size: int = 500  # machines in one page of the cloud's list
     zone_capacity: int | None = None
 
     def zone_of(self, name: str) -> str:
@@ -139,8 +139,10 @@
         self.hosts: dict[str, RequestHandler] = {}
         self.cut: set[frozenset[str]] = set()
         self.fate: Fate | None = None
-        self.deaf: set[str] = set()  # what they send arrives; no answer or command reaches them
-        self.mute: set[str] = set()  # they reach nobody; what is sent to them arrives
+        # Machines with one-way partitions: no answer or command reaches the first, and nothing
+        # that the second send arrives.
+        self.not_receiving: set[str] = set()
+        self.not_sending: set[str] = set()
         # By target: how many seconds an answer takes on its way back.
         self.answer_delay: Callable[[str], float] = lambda target: 0.0
         # Decides whether a request comes once more, and how many seconds later.
@@ -176,7 +178,7 @@
         self, source: str, host: str, addr: str, method: str, target: str, body: Any
     ) -> ClientResponse:
         await asyncio.sleep(0.001)
-        if source in self.mute:
+        if source in self.not_sending:
             await asyncio.sleep(1000.0)
         if frozenset((source, host)) in self.cut or addr not in self.hosts:
             if addr in self.hosts:
@@ -195,7 +197,7 @@
         handler = self.hosts.get(addr)
         if handler is None:
             raise NoResponseError("gone", True)
-        if host in self.deaf:
+        if host in self.not_receiving:
             await asyncio.sleep(1000.0)
         late = self.copy(source, addr, method, target)
         if late is not None:
@@ -203,7 +205,7 @@
         status, answer = await handler(source, method, target, body)
         if delay_s := self.answer_delay(target):
             await asyncio.sleep(delay_s)
-        if fate[1] or source in self.deaf or frozenset((source, host)) in self.cut:
+        if fate[1] or source in self.not_receiving or frozenset((source, host)) in self.cut:
             await asyncio.sleep(1000.0)
         return ClientResponse(status, orjson.dumps(answer))
 
@@ -217,18 +219,18 @@
 
 
 class World:
-    def __init__(self, seed: int = 1, made_of: Deployment = SMALL) -> None:
-        self.made_of = made_of
-        cluster = made_of.settings_of(made_of.nodes[0]).cluster
+    def __init__(self, seed: int = 1, deployment: Deployment = SMALL) -> None:
+        self.deployment = deployment
+        cluster = deployment.settings_of(deployment.nodes[0]).cluster
         self.workers, self.state_limits = cluster.workers, cluster.state
         self.limits = {team.name: team.most_cores for team in cluster.teams}
         self.random = random.Random(seed)
         self.run_s = 5.0
-        self.run_s_of: dict[str, float] = {}  # by job, where it is not run_s
+        self.run_s_by_job: dict[str, float] = {}  # by job, where it is not run_s
         self.spread_s = 0.0  # by how much the tasks of a job differ
-        self.late_boots_s = 0.0  # by how much machines rented now come up late
-        self.mistaken: set[str] = set()  # jobs that fail on every machine
-        self.bad_tasks: set[str] = set()  # and single tasks
+        self.boot_delay_s = 0.0  # by how much machines rented now boot late
+        self.failing_jobs: set[str] = set()  # jobs that fail on every machine
+        self.failing_tasks: set[str] = set()  # and single tasks
         self.jobs: dict[str, dict[str, Any]] = {}
         self.checker = InvariantChecker(self)
         self.net = Net(self)
@@ -239,7 +241,7 @@
         self.nodes: dict[str, Controller] = {}
         self._running: dict[str, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
-        for name in made_of.nodes:
+        for name in deployment.nodes:
             self.boot(name)
 
     def background(self, work: Any) -> None:
@@ -250,20 +252,20 @@
     def public_address(self, node: str) -> str:
         return f"{node}:1"
 
-    def is_bad(self, leg: str) -> bool:
-        return leg in self.bad_tasks or leg.rpartition("/")[0] in self.mistaken
+    def task_fails(self, task_id: str) -> bool:
+        return task_id in self.failing_tasks or task_id.rpartition("/")[0] in self.failing_jobs
 
-    def ran_s(self, leg: str) -> float:
-        job_id, _, task = leg.rpartition("/")
+    def task_run_s(self, task_id: str) -> float:
+        job_id, _, task = task_id.rpartition("/")
         if self.jobs[job_id]["shape"] == "service":
             return math.inf
         longer_s = int(task) * 0.37 % 1.0 * self.spread_s
-        return self.run_s_of.get(job_id, self.run_s) + longer_s
+        return self.run_s_by_job.get(job_id, self.run_s) + longer_s
 
     # ---- controllers -------------------------------------------------------------------------
 
     def boot(self, name: str) -> None:
-        node = Controller(self.made_of.settings_of(name), self.net.requester(name), self.random)
+        node = Controller(self.deployment.settings_of(name), self.net.requester(name), self.random)
         self.nodes[name] = node
         context = contextvars.copy_context()
         context.run(PROCESS.set, name)
@@ -323,7 +325,7 @@
     ) -> None:
         self.jobs[spec["name_id"]] = spec
         for _ in range(tries):
-            for node in nodes or self.made_of.nodes:
+            for node in nodes or self.deployment.nodes:
                 try:
                     status, answer = await self.ask(node, "POST", "/v2/runs", spec)
                 except NoResponseError:
@@ -336,7 +338,7 @@
 
     async def cancel(self, job_id: str) -> str:
         while True:
-            for node in self.made_of.nodes:
+            for node in self.deployment.nodes:
                 final = await self.try_to_cancel(job_id, node)
                 if final is not None:
                     return final
@@ -358,7 +360,7 @@
 
     async def poll(self) -> None:
         for job_id in self.jobs:
-            for node in self.made_of.nodes:
+            for node in self.deployment.nodes:
                 try:
                     status, answer = await self.ask(node, "GET", f"/v2/runs/{job_id}")
                 except NoResponseError:
@@ -391,12 +393,14 @@
     async def running(self, count: int) -> list[str]:
         """Wait until so many tasks run; their names."""
         while True:
-            now_on = [leg for leg, machines in self.checker.machines_by_task.items() if machines]
+            now_on = [
+                task_id for task_id, machines in self.checker.machines_by_task.items() if machines
+            ]
             if len(now_on) >= count:
                 return now_on
             await asyncio.sleep(0.1)
 
-    def where(self, leg: str) -> Worker:
-        name = next(iter(self.checker.machines_by_task[leg]))
+    def where(self, task_id: str) -> Worker:
+        name = next(iter(self.checker.machines_by_task[task_id]))
         worker: Worker = self.cloud.machines[name].worker
         return worker
