--- /dev/null
+++ b/tests/scenario.py
@@ -0,0 +1,73 @@
+"""Shared parts of scenarios: several controllers with stand-ins, in virtual time."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from petrelthread.http import NoResponseError
+from tests.virtual import play
+from tests.world import NODES, SMALL, Deployment, Fate, World
+
+Scenario = Callable[[World], Awaitable[None]]
+
+
+def run(scenario: Scenario, seed: int = 1, deployment: Deployment = SMALL) -> World:
+    """Play a scenario and a calm time after it; no invariant may be violated."""
+
+    async def main() -> World:
+        world = World(seed, deployment)
+        await scenario(world)
+        await world.calm(80.0)  # late messages get their chance
+        assert not world.checker.violations, world.checker.violations
+        assert world.checker.start_count > 0
+        return world
+
+    result: World = play(main())
+    return result
+
+
+def now() -> float:
+    """Virtual time, in seconds."""
+    return asyncio.get_running_loop().time()
+
+
+def other_controllers(name: str) -> list[str]:
+    """All controllers but one."""
+    return [node for node in NODES if node != name]
+
+
+def lost_transaction_answers(world: World, share: float, late: bool) -> Fate:
+    """Some transactions get no answer; they are carried out at once, or 2 to 12 s later."""
+
+    def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        if target == "/multi" and world.random.random() < share:
+            return (world.random.uniform(2.0, 12.0) if late else 0.0), True
+        return 0.0, False
+
+    return fate
+
+
+async def cancel_at(world: World, job_id: str, nodes: list[str]) -> bool:
+    """One try to cancel at each of these nodes. True if one of them confirmed it."""
+    for node in nodes:
+        if await world.try_to_cancel(job_id, node) == "aborted":
+            return True
+    return False
+
+
+async def query_all_controllers(world: World, job_id: str) -> None:
+    """Ask all nodes at the same moment, and repeat the submission there."""
+
+    async def one(node: str, method: str, path: str, body: Any) -> None:
+        try:
+            status, answer = await world.ask(node, method, path, body)
+        except NoResponseError:
+            return
+        world.checker.record_answer(job_id, status, answer)
+        assert status not in (400, 422), (job_id, node, answer)
+
+    asks = [one(node, "GET", f"/v2/runs/{job_id}", None) for node in world.nodes]
+    asks += [one(node, "POST", "/v2/runs", world.jobs[job_id]) for node in world.nodes]
+    await asyncio.gather(*asks)
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -4,15 +4,14 @@
 
 from typing import Any
 
-from tests.test_faults import run
+from tests.scenario import run
 from tests.world import World, job
 
 ANSWER_LATE_S = 0.05  # the watch shows a record well before its claim is answered
 
 
 def test_rounds_that_the_watch_shows_before_their_answer_are_sent() -> None:
-    """Each start on record is sent: the leader took its own rounds for late copies of settled ones,
-    and wrote them again."""
+    """A leader must not take its own rounds for late copies of settled ones."""
     recorded = 0
 
     async def scenario(world: World) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -27,8 +27,10 @@
 from petrelthread.emulator.soak import SeedResult, shown
 from petrelthread.emulator.worker import TaskRun, Worker
 from petrelthread.emulator.workload import draw_jobs
+from petrelthread.http import NoResponseError
+from tests.scenario import now
 from tests.virtual import play
-from tests.world import World, job
+from tests.world import NODES, World, job
 
 ROOT = Path(__file__).parent.parent
 Scenario = Callable[[World], None]
@@ -187,8 +189,10 @@
         links = LinkFaults(random.Random(1))
         links.commands_held_until["host-1"] = asyncio.get_running_loop().time() + 1.0
         held, free = links.fate("any", "host-1", "/do"), links.fate("any", "host-2", "/do")
-        assert held.answer_lost and held.delay_s > CANCEL_S
-        assert not free.answer_lost and not links.fate("any", "host-1", "/show").delay_s
+        assert held.answer_lost
+        assert held.delay_s > CANCEL_S
+        assert not free.answer_lost
+        assert not links.fate("any", "host-1", "/show").delay_s
 
     play(run())
 
@@ -218,7 +222,8 @@
     assert links.fate("controller", "host-1", "/do").lost
     links.late_writes = links.late_reports = 1.0
     assert links.fate("node-1", STATE, "/multi").answer_lost
-    assert links.copy_delay_s("/checkin") and links.copy_delay_s("/ready") is None
+    assert links.copy_delay_s("/checkin")
+    assert links.copy_delay_s("/ready") is None
     links.heal()
     assert not links.fate("node-0", STATE, "/multi").lost
     assert links.copy_delay_s("/checkin") is None
@@ -268,7 +273,9 @@
 def test_violation_is_shown_with_evidence_and_command_to_repeat() -> None:
     result = SeedResult(7, jobs=3, done=2, violations=["quota: red"], evidence=["1.0 something"])
     text = shown(result, LoopbackOptions(seconds=9.0, controllers=5, machines=6))
-    assert "seed 7: BROKEN" in text and "quota: red" in text and "1.0 something" in text
+    assert "seed 7: BROKEN" in text
+    assert "quota: red" in text
+    assert "1.0 something" in text
     assert "soak --seeds 1 --first-seed 7 --seconds 9 --controllers 5 --machines 6" in text
     assert "seed 7: ok" in shown(SeedResult(7), LoopbackOptions())
 
@@ -307,3 +314,21 @@
         soak.kill()
         soak.wait()
     assert wait_for(lambda: not any(os.path.exists(f"/proc/{child}") for child in children))
+
+
+def test_a_forgotten_job_is_found() -> None:
+    async def main() -> None:
+        world = World()
+        await world.submit(job("wk-000001", 2))
+        world.checker.faults_ended_at = now()
+        world.net.cut |= {frozenset(("user", n)) for n in NODES}
+        with pytest.raises(NoResponseError):
+            await world.ask("n0", "GET", "/v2/runs/wk-000001")
+        await asyncio.sleep(60.0)
+        world.checker.check_answers()
+        assert not world.checker.violations
+        await asyncio.sleep(20.0)
+        world.checker.check_answers()
+        assert any(text.startswith("forgotten") for text in world.checker.violations)
+
+    play(main())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -133,7 +133,8 @@
         await asyncio.sleep(5.0)
         await settled(world, frozenset(inside))
         await asyncio.sleep(world.workers.lease_s + 5.0)
-        assert world.leader is not None and world.leader not in inside
+        assert world.leader is not None
+        assert world.leader not in inside
         zone = world.nodes[world.leader].cluster_state.names.zones.index("c")
         assert (
             zone in world.nodes[world.leader].zone_monitor.cut_off_since
@@ -141,7 +142,8 @@
         leader = world.nodes[world.leader]
         zones = orjson.loads((await leader.handle_peer("GET", "/admin/v1/zones", b"")).body)
         told = {entry["zone"]: entry["says"] for entry in zones["zones"]}
-        assert told["c"].startswith("DOWN") and not told["a"].startswith("DOWN"), told
+        assert told["c"].startswith("DOWN"), told
+        assert not told["a"].startswith("DOWN"), told
         waiting = next(job for job in leader.cluster_state.open_jobs.values() if job.pending_count)
         path = f"/admin/v1/jobs/{waiting.id}"
         why = orjson.loads((await leader.handle_peer("GET", path, b"")).body)["why"]
@@ -168,7 +170,8 @@
         await asyncio.sleep(world.workers.lease_s + 6.0)
         world.net.cut -= still
         await settled(world)
-        assert world.leader is not None and world.leader != old
+        assert world.leader is not None
+        assert world.leader != old
 
     run(scenario, ONE_ZONE)
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -55,9 +55,8 @@
     )
     assert (second.single_zone, second.spread_zones, second.spot_allowed) == (True, True, True)
     assert (second.done_count, second.pending_count, second.deadline_s) == (3, 1, 90.0)
-    assert third.final_status == "aborted" and set(third.live_attempts) == {
-        2
-    }  # counts until it is surely gone
+    assert third.final_status == "aborted"
+    assert set(third.live_attempts) == {2}
     assert {task: a.number for task, a in first.live_attempts.items()} == {0: 4194305, 1: 4194305}
     assert [bool(first.live_attempts[n].stop_requested_at) for n in (0, 1)] == [False, True]
     assert cluster_state.recorded_machines() == {"host-000001", "host-000009"}
@@ -90,7 +89,8 @@
         assert isinstance(value, shape), (key, value)
     if key.startswith("pt/r/"):
         for machine, session, jobs in value:
-            assert isinstance(machine, str) and isinstance(session, int)
+            assert isinstance(machine, str)
+            assert isinstance(session, int)
             assert all(isinstance(n, int) for _, tasks in jobs for n in tasks)
     elif key.startswith("pt/d/"):
         assert all(len(ranges) % 2 == 0 for _, ranges in value)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -32,7 +32,8 @@
         while job.pending_count:
             decision = node.scheduler.decide(now)
             claim = node.scheduler.claim_builder.build(decision.starts, decision.preemptions, now)
-            assert claim.records and len(claim.operations) <= state.txn_ops
+            assert claim.records
+            assert len(claim.operations) <= state.txn_ops
             for operation in claim.operations:
                 value = getattr(operation, "value", None)
                 assert len(orjson.dumps(encode(value))) <= state.value_kb * 1024
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -183,8 +183,7 @@
 
 
 def test_structure_of_a_status_in_trouble() -> None:
-    """Answers of cloud and workers are lost; then a new leader that no worker reaches, and a
-    follower without the state service."""
+    """Answers are lost, a new leader reaches no worker, a follower has no state service."""
     found: dict[str, set[str]] = {}
     operations: set[str] = set()
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -17,7 +17,8 @@
 @pytest.fixture(name="known_red")
 def load() -> ModuleType:
     spec = importlib.util.spec_from_file_location("known_red", ROOT / ".ci" / "known_red.py")
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules["known_red"] = module
     spec.loader.exec_module(module)
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -20,7 +20,7 @@
 import pytest
 
 from petrelthread.leadership import Role
-from tests.test_faults import run
+from tests.scenario import run
 from tests.world import NODES, Fate, World, job
 
 CANCELLED = "wk-000001"
@@ -119,8 +119,7 @@
 
 
 async def writes_are_lost(world: World, held: HeldStarts, leader: str) -> None:
-    """The leader reads and renews its lease, but nothing that it writes arrives: its token can't
-    be raised."""
+    """The leader reads and renews its lease, but cannot write, nor raise its token."""
 
     def lost(source: str, address: str, method: str, target: str, body: Any) -> Any:
         return None if source == leader and target == "/multi" else (0.0, False)
@@ -201,7 +200,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("trouble", TROUBLES)
 def test_a_late_start_meets_a_cancellation_and_another_trouble(trouble: Any, seed: int) -> None:
-    """Delays from milliseconds to five minutes; the trouble begins around the raise of the token"""
+    """Delays from milliseconds to five minutes; the fault begins around the raise of the token."""
 
     async def scenario(world: World) -> None:
         delay_s = math.exp(world.random.uniform(math.log(0.005), math.log(300.0)))
@@ -238,7 +237,8 @@
         while now() < held.arrived_at:
             await asyncio.sleep(0.5)
             election = world.nodes[leader].election
-            assert election.role is Role.LEADING and election.fencing_token == election.epoch
+            assert election.role is Role.LEADING
+            assert election.fencing_token == election.epoch
         held.others = lambda *request: (0.0, False)
         await busy
 
@@ -295,9 +295,11 @@
         world.net.fate = fate
         before = election.fencing_token
         assert await election.raise_fencing_token()
-        assert lost and election.fencing_token == before + 1
+        assert lost
+        assert election.fencing_token == before + 1
         await asyncio.sleep(late_s + 3.0)
-        assert election.role is Role.LEADING and world.leader == leader
+        assert election.role is Role.LEADING
+        assert world.leader == leader
         assert election.fencing_token == before + 1
         await world.until_over(60.0)
 
--- /dev/null
+++ b/tests/test_operator_views.py
@@ -0,0 +1,51 @@
+"""What operators are told when something fails."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from petrelthread.admin.alerts import AlertTracker
+from petrelthread.admin.api import DIRECT
+from tests.scenario import run
+from tests.world import World, job
+
+
+def test_a_node_refused_by_the_state_service_alone_says_so() -> None:
+    async def scenario(world: World) -> None:
+        world.run_s = 10.0
+        await world.submit(job("wk-000001", 12, estimated_run_s=10.0))
+        await world.running(4)
+        refused = next(name for name in world.nodes if name != world.leader)
+        world.store.refused.add(refused)
+        await asyncio.sleep(6.0)
+        assert (await world.ask(refused, "GET", "/ready"))[0] == 503
+        _, got = await world.ask_admin(refused, f"status?{DIRECT}")
+        assert any("state service" in t["trouble"] for t in got["troubles"]), got["troubles"]
+        assert (await world.ask(refused, "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
+        other = next(name for name in world.nodes if name != refused)
+        assert (await world.ask(other, "GET", "/v2/runs/wk-000001"))[0] == 200
+        world.store.refused.clear()
+        await asyncio.sleep(3.0)
+        assert (await world.ask(refused, "GET", "/ready"))[0] == 200
+        await world.until_over(60.0)
+
+    run(scenario)
+
+
+def test_each_alert_is_logged_when_it_begins_and_when_it_is_over(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    caplog.set_level("INFO")
+    troubles = AlertTracker()
+    troubles.update({"boots": "2 machines are late"}, 10.0)
+    troubles.update({}, 11.0)  # a flicker is not worth a line
+    assert not caplog.records
+    for at in range(20, 40):
+        troubles.update({"boots": f"{at} machines are late"}, float(at))
+    assert troubles.duration_s("boots", 40.0) == 20.0
+    for at in range(40, 50):
+        troubles.update({}, float(at))
+    said = [record.getMessage() for record in caplog.records]
+    assert said == ["alert: 22 machines are late", "alert over after 20 s: boots"]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -12,7 +12,7 @@
 
 from petrelthread.admin.explain import explain_waiting
 from petrelthread.fleet import Health
-from tests.test_faults import run
+from tests.scenario import run
 from tests.world import NODES, SMALL, World, job
 
 
@@ -238,7 +238,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_services_under_several_troubles(seed: int) -> None:
     """Drawn from all the kinds that test_ops knows, with arrays beside."""
-    from tests.test_ops import trouble
+    from tests.test_concurrent_faults import inject_fault
 
     async def scenario(world: World) -> None:
         chance = random.Random(seed)
@@ -249,7 +249,7 @@
         await served(world, 40.0)
         ends = []
         for _ in range(7):
-            ends.append(asyncio.ensure_future(trouble(world, chance)))
+            ends.append(asyncio.ensure_future(inject_fault(world, chance)))
             await asyncio.sleep(chance.uniform(0.0, 8.0))
             await world.poll()
         await world.cancel("wk-000002")
@@ -285,7 +285,8 @@
         while machine.health not in (Health.UNRESPONSIVE, Health.TERMINATING):
             await asyncio.sleep(0.1)
         said = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
-        assert f"may be on {lost.name}" in said and "confirmed" in said, said
+        assert f"may be on {lost.name}" in said, said
+        assert "confirmed" in said, said
         world.net.cut.clear()
         await asyncio.sleep(15.0)
         await served(world, 20.0)
--- a/tests/test_watch_cache.py
+++ b/tests/test_watch_cache.py
@@ -73,6 +73,7 @@
         watch_cache = WatchCache(client, lambda key, value, stamp: told.append(key), 0.1)
         with pytest.raises(StateResultUnknownError, match="goes no further"):
             await watch_cache.load()
-        assert not told and not watch_cache.loaded.is_set()
+        assert not told
+        assert not watch_cache.loaded.is_set()
 
     play(main())
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -33,6 +33,8 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
+    """Its clock jumps to the next timer; single processes may be paused."""
+
     def __init__(self) -> None:
         self.now = 100.0
         self.still: set[str] = set()  # processes that stand still while clocks run on
