--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -10,38 +10,40 @@
 
 from petrelthread.cli import main
 from petrelthread.http import ClientResponse
+from tests.simulation import NODES, Simulation, job
 from tests.virtual import play
-from tests.world import NODES, World, job
 
 
-async def admin(world: World, node: str, method: str, path: str, body: Any = None) -> Any:
+async def admin(simulation: Simulation, node: str, method: str, path: str, body: Any = None) -> Any:
     addr = f"{node}:2"
-    request = world.net.requester("operator")
+    request = simulation.net.requester("operator")
     reply: ClientResponse = await request(addr, method, f"/admin/v1/{path}", body, timeout=5.0)
     return reply.status, orjson.loads(reply.body)
 
 
 def test_why_a_job_waits() -> None:
     async def scenario() -> None:
-        world = World()
-        await world.submit(job("wk-000001", 20, guess_s=60.0))
+        simulation = Simulation()
+        await simulation.submit(job("wk-000001", 20, guess_s=60.0))
         await asyncio.sleep(2.0)
-        _, got = await admin(world, "n1", "GET", "jobs/wk-000001")
+        _, got = await admin(simulation, "n1", "GET", "jobs/wk-000001")
         assert "booting" in got["why"]
-        await world.running(6)
+        await simulation.wait_until_running(6)
         for node in NODES:  # followers ask the leader
-            _, got = await admin(world, node, "GET", "jobs/wk-000001")
+            _, got = await admin(simulation, node, "GET", "jobs/wk-000001")
             assert "team red uses 12 of its limit of 12 cores" in got["why"], got["why"]
-        assert (await admin(world, "n0", "GET", "jobs/wk-000099"))[0] == 404
-        _, got = await admin(world, "n2", "GET", "status")
-        assert got["leader"] == await world.led()
+        assert (await admin(simulation, "n0", "GET", "jobs/wk-000099"))[0] == 404
+        _, got = await admin(simulation, "n2", "GET", "status")
+        assert got["leader"] == await simulation.wait_for_leader()
         assert got["backlog"]["batch"]["jobs"] == 1
         assert sum(t["cores"] for t in got["teams"]) == 12.0
-        world.net.cut |= {frozenset((m, n)) for m in world.cloud.machines for n in NODES}
+        simulation.net.partitions |= {
+            frozenset((m, n)) for m in simulation.cloud.machines for n in NODES
+        }
         said: set[str] = set()
         for _ in range(30):
             await asyncio.sleep(0.5)
-            _, got = await admin(world, "n0", "GET", "zones")
+            _, got = await admin(simulation, "n0", "GET", "zones")
             said |= {z["says"] for z in got["zones"]}
         assert any(says.startswith("DOWN") for says in said)
 
@@ -50,26 +52,30 @@
 
 def test_settings_are_checked_versioned_and_applied_everywhere() -> None:
     async def scenario() -> None:
-        world = World()
-        await world.led()
+        simulation = Simulation()
+        await simulation.wait_for_leader()
 
         async def put(name: Any, value: Any, version: Any) -> Any:
             body = {"name": name, "value": value, "version": version}
-            return await admin(world, "n1", "PUT", "settings", body)
+            return await admin(simulation, "n1", "PUT", "settings", body)
 
         assert (await put("idle_s", 9999, 0))[0] == 400
         assert "0 to 3600" in (await put("idle_s", "soon", 0))[1]["error"]
         assert (await put("colour", 1, 0))[0] == 400
         assert (await put("idle_s", 7, "x"))[0] == 400
-        assert (await admin(world, "n1", "PUT", "settings", []))[0] == 400
+        assert (await admin(simulation, "n1", "PUT", "settings", []))[0] == 400
         status, got = await put("idle_s", 7, 0)
         assert status == 200
         assert (await put("idle_s", 8, 0))[0] == 409
         await asyncio.sleep(1.0)
-        assert [n.provisioning_options.spot_idle_s for n in world.nodes.values()] == [7.0, 7.0, 7.0]
+        assert [n.provisioning_options.spot_idle_s for n in simulation.nodes.values()] == [
+            7.0,
+            7.0,
+            7.0,
+        ]
         assert (await put("idle_s", None, got["version"]))[0] == 200
         await asyncio.sleep(1.0)
-        assert world.nodes["n2"].provisioning_options.spot_idle_s != 7.0
+        assert simulation.nodes["n2"].provisioning_options.spot_idle_s != 7.0
 
     play(scenario())
 
--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -14,7 +14,7 @@
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 EXIT_BAD_ARGUMENT = 2
 
-Subparsers = argparse._SubParsersAction
+Subparsers = argparse._SubParsersAction  # noqa: SLF001 - argparse has no public name for it
 
 
 def parser() -> argparse.ArgumentParser:
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -10,16 +10,16 @@
 
 from petrelthread import protocol
 from petrelthread.state import JobRecord, encode
+from tests.simulation import Simulation, job
 from tests.virtual import play
-from tests.world import World, job
 
 
-async def led_world() -> World:
+async def led_world() -> Simulation:
     """Controllers one of which has led for a second."""
-    world = World()
-    await world.led()
+    simulation = Simulation()
+    await simulation.wait_for_leader()
     await asyncio.sleep(1.0)
-    return world
+    return simulation
 
 
 @pytest.mark.parametrize(
@@ -78,10 +78,10 @@
 )
 def test_a_job_that_can_never_run_is_422(change: dict[str, Any]) -> None:
     async def main() -> None:
-        world = await led_world()
-        status, _ = await world.ask("n0", "POST", "/v2/runs", job("wk-000009", 1, **change))
+        simulation = await led_world()
+        status, _ = await simulation.ask("n0", "POST", "/v2/runs", job("wk-000009", 1, **change))
         assert status == 422
-        assert (await world.ask("n1", "GET", "/v2/runs/wk-000009"))[0] == 404
+        assert (await simulation.ask("n1", "GET", "/v2/runs/wk-000009"))[0] == 404
 
     play(main())
 
@@ -99,21 +99,23 @@
     method: str, path: str, expected: int
 ) -> None:
     async def main() -> None:
-        world = await led_world()
-        assert (await world.ask("n1", method, path))[0] == expected
+        simulation = await led_world()
+        assert (await simulation.ask("n1", method, path))[0] == expected
 
     play(main())
 
 
 def test_one_of_several_submissions_creates_the_job_and_none_is_checked_again() -> None:
     async def main() -> None:
-        world = await led_world()
-        spec = world.jobs["wk-000001"] = job("wk-000001", 1)
+        simulation = await led_world()
+        spec = simulation.jobs["wk-000001"] = job("wk-000001", 1)
         answers = await asyncio.gather(
-            *(world.ask(node, "POST", "/v2/runs", spec) for node in world.nodes)
+            *(simulation.ask(node, "POST", "/v2/runs", spec) for node in simulation.nodes)
         )
         assert sorted(status for status, _ in answers) == [200, 200, 201]
-        status, _ = await world.ask("n0", "POST", "/v2/runs", job("wk-000001", 1, crew="green"))
+        status, _ = await simulation.ask(
+            "n0", "POST", "/v2/runs", job("wk-000001", 1, crew="green")
+        )
         assert status == 200
 
     play(main())
@@ -121,11 +123,11 @@
 
 def test_an_outage_of_the_state_service_is_503_at_once() -> None:
     async def main() -> None:
-        world = await led_world()
-        world.store.set_outage(True)
+        simulation = await led_world()
+        simulation.state_service.set_outage(True)
         before = asyncio.get_running_loop().time()
-        assert (await world.ask("n2", "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
-        assert (await world.ask("n2", "GET", "/v2/runs/wk-000003"))[0] == 503
+        assert (await simulation.ask("n2", "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
+        assert (await simulation.ask("n2", "GET", "/v2/runs/wk-000003"))[0] == 503
         assert asyncio.get_running_loop().time() - before < 1.0
 
     play(main())
@@ -138,8 +140,8 @@
     """A user who is turned away comes back only after seconds."""
 
     async def main() -> None:
-        world = await led_world()
-        handle, left = world.store.handle, refusals
+        simulation = await led_world()
+        handle, left = simulation.state_service.handle, refusals
 
         async def busy(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
             nonlocal left
@@ -149,10 +151,10 @@
                 return 429, {}
             return await handle(source, method, target, body)
 
-        world.net.hosts["state:1"] = busy
-        world.jobs["wk-000001"] = job("wk-000001", 2)
+        simulation.net.hosts["state:1"] = busy
+        simulation.jobs["wk-000001"] = job("wk-000001", 2)
         asked = asyncio.get_running_loop().time()
-        status, _ = await world.ask("n0", "POST", "/v2/runs", world.jobs["wk-000001"])
+        status, _ = await simulation.ask("n0", "POST", "/v2/runs", simulation.jobs["wk-000001"])
         assert status == expected
         assert asyncio.get_running_loop().time() - asked < 1.0  # never held back for long
 
@@ -163,17 +165,17 @@
     """The limit may have been larger then, and the job be unknown to this controller so far."""
 
     async def main() -> None:
-        world = World()
-        await world.led()
+        simulation = Simulation()
+        await simulation.wait_for_leader()
         large = job("wk-000001", 1, bundle="img-" + "x" * 5000)
-        status, answer = await world.ask("n1", "POST", "/v2/runs", large)
+        status, answer = await simulation.ask("n1", "POST", "/v2/runs", large)
         assert status == 400
         assert "too large" in answer["error"]
         spec = protocol.parse_job(orjson.dumps(large))
         stored = encode(JobRecord.from_spec(spec, 0.0))
-        world.store._apply([{"put": "pt/j/wk-000001", "v": stored}])
+        simulation.state_service._apply([{"put": "pt/j/wk-000001", "v": stored}])
         for node in ("n1", "n2"):
-            status, answer = await world.ask(node, "POST", "/v2/runs", large)
+            status, answer = await simulation.ask(node, "POST", "/v2/runs", large)
             assert (status, answer["name_id"]) == (200, "wk-000001")
 
     play(main())
--- a/petrelthread/leadership/test_election.py
+++ b/petrelthread/leadership/test_election.py
@@ -8,19 +8,21 @@
 
 from petrelthread.leadership import Role
 from petrelthread.state import IllegalTransitionError
+from tests.simulation import NODES, Simulation
 from tests.virtual import play
-from tests.world import NODES, World
 
 
 def test_what_each_role_may_do_while_the_state_service_is_lost() -> None:
     async def scenario() -> None:
-        world = World()
-        name = await world.led()
-        election = world.nodes[name].election
+        simulation = Simulation()
+        name = await simulation.wait_for_leader()
+        election = simulation.nodes[name].election
         assert election.is_leader
         assert election.may_answer_workers
         assert election.fence() is not None
-        world.net.cut |= {frozenset((name, other)) for other in ("state", *NODES) if other != name}
+        simulation.net.partitions |= {
+            frozenset((name, other)) for other in ("state", *NODES) if other != name
+        }
         lost_at = asyncio.get_running_loop().time()
         await asyncio.sleep(5.0)
         assert election.role is Role.LEASE_GRACE
@@ -30,7 +32,7 @@
         while election.may_answer_workers:
             await asyncio.sleep(0.1)
         held_s = asyncio.get_running_loop().time() - lost_at
-        limit_s = world.nodes[name].settings.lease_grace_s
+        limit_s = simulation.nodes[name].settings.lease_grace_s
         assert limit_s - 2.0 < held_s <= limit_s + 0.2
 
     play(scenario())
@@ -38,9 +40,9 @@
 
 def test_a_newer_epoch_from_anyone_ends_the_leadership() -> None:
     async def scenario() -> None:
-        world = World()
-        name = await world.led()
-        election = world.nodes[name].election
+        simulation = Simulation()
+        name = await simulation.wait_for_leader()
+        election = simulation.nodes[name].election
         election.observe_epoch(election.epoch)
         assert election.is_leader
         election.observe_epoch(election.epoch + 1)
@@ -52,15 +54,15 @@
 
 def test_two_candidates_never_hold_the_same_epoch() -> None:
     async def scenario(seed: int) -> None:
-        world = World(seed)
+        simulation = Simulation(seed)
         for _ in range(4):
-            name = await world.led()
-            world.crash(name)
-            await asyncio.sleep(world.random.uniform(0.0, 0.5))
-            world.boot(name)
-            await asyncio.sleep(world.random.uniform(0.0, 5.0))
+            name = await simulation.wait_for_leader()
+            simulation.crash(name)
+            await asyncio.sleep(simulation.random.uniform(0.0, 0.5))
+            simulation.boot(name)
+            await asyncio.sleep(simulation.random.uniform(0.0, 5.0))
         held: dict[int, set[str]] = {}
-        for key, value in world.store.puts:
+        for key, value in simulation.state_service.puts:
             if key == "pt/lead":
                 held.setdefault(value["epoch"], set()).add(value["nonce"])
         assert len(held) >= 4
@@ -77,26 +79,26 @@
     """
 
     async def scenario() -> None:
-        world = World()
-        name = await world.led()
-        node = world.nodes[name]
+        simulation = Simulation()
+        name = await simulation.wait_for_leader()
+        node = simulation.nodes[name]
         epoch = node.election.epoch
         for other in NODES:
             if other != name:
-                world.crash(other)
-        world.net.fate = lambda source, address, method, target, body: (
+                simulation.crash(other)
+        simulation.net.delivery_rule = lambda source, address, method, target, body: (
             0.0,
             target.startswith("/watch"),
         )
         successor = {"node": "n9", "nonce": "n9-1", "epoch": epoch + 1, "lease": 999}
-        world.store.put("pt/epoch", epoch + 1)
-        world.store.put("pt/lead", successor)
+        simulation.state_service.put("pt/epoch", epoch + 1)
+        simulation.state_service.put("pt/lead", successor)
         await node.watch_cache.load()
         assert node.election.role is Role.FOLLOWER
-        world.net.fate = None
-        world.store.drop("pt/lead")
+        simulation.net.delivery_rule = None
+        simulation.state_service.drop("pt/lead")
         async with asyncio.timeout(20.0):
-            assert await world.led() == name
+            assert await simulation.wait_for_leader() == name
         assert node.election.epoch > epoch + 1
 
     play(scenario())
@@ -104,7 +106,7 @@
 
 def test_a_role_change_that_is_not_defined_is_an_error() -> None:
     async def scenario() -> None:
-        election = World().nodes[NODES[0]].election
+        election = Simulation().nodes[NODES[0]].election
         assert election.role is Role.FOLLOWER
         with pytest.raises(IllegalTransitionError):
             election._transition(Role.LEADING, "not elected")
--- a/petrelthread/provisioning/test_scale_in.py
+++ b/petrelthread/provisioning/test_scale_in.py
@@ -8,8 +8,8 @@
 from petrelthread import protocol
 from petrelthread.fleet import Health
 from petrelthread.provisioning import Plan
+from tests.simulation import Simulation, job
 from tests.virtual import play
-from tests.world import World, job
 
 
 def test_more_machines_than_one_call_may_name_are_scaled_in_by_several_calls() -> None:
@@ -17,9 +17,9 @@
     name_counts: list[int] = []
 
     async def scenario() -> None:
-        world = World(1)
-        node = world.nodes[await world.led()]
-        handle = world.cloud.handle
+        simulation = Simulation(1)
+        node = simulation.nodes[await simulation.wait_for_leader()]
+        handle = simulation.cloud.handle
 
         async def cloud(
             source: str, method: str, target: str, body: dict[str, Any]
@@ -28,7 +28,7 @@
                 name_counts.append(len(body["perches"]))
             return await handle(source, method, target, body)
 
-        world.net.hosts["cloud:1"] = cloud
+        simulation.net.hosts["cloud:1"] = cloud
         now = asyncio.get_running_loop().time()
         machines = [node.fleet.get_or_add(f"host-{n:06d}", now) for n in range(330)]
         await node.provisioner.scale_in.execute_all(machines, now)
@@ -43,11 +43,11 @@
     """Scale-outs, which take seconds, come between the plan and its scale-ins."""
 
     async def scenario() -> None:
-        world = World(1)
-        world.run_s = 60.0
-        await world.submit(job("wk-000001", 1, guess_s=60.0))
-        await world.running(1)
-        node = world.nodes[await world.led()]
+        simulation = Simulation(1)
+        simulation.run_s = 60.0
+        await simulation.submit(job("wk-000001", 1, guess_s=60.0))
+        await simulation.wait_until_running(1)
+        node = simulation.nodes[await simulation.wait_for_leader()]
         now = asyncio.get_running_loop().time()
         up = [m for m in node.fleet.machines.values() if m.health is Health.UP]
         busy = [m for m in up if m.index in node.cluster_state.attempts_by_machine]
--- a/petrelthread/provisioning/test_scale_out.py
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from petrelthread.provisioning import ScaleOutRequest, interleave
+from tests.simulation import SMALL, Simulation, job
 from tests.virtual import play
-from tests.world import SMALL, World, job
 
 
 def test_first_call_to_each_offer_precedes_second_to_any() -> None:
@@ -30,8 +30,8 @@
     async def scenario() -> None:
         text = SMALL.text.replace("cpus_max = 12.0", "cpus_max = 4000.0")
         text = text.replace("rps = 10.0\nlist_lag_s", "rps = 1.0\nlist_lag_s")
-        world = World(1, replace(SMALL, text=text, spot=420, on_demand=0))
-        handle = world.cloud.handle
+        simulation = Simulation(1, replace(SMALL, text=text, spot=420, on_demand=0))
+        handle = simulation.cloud.handle
 
         async def cloud(
             source: str, method: str, target: str, body: dict[str, Any]
@@ -41,9 +41,9 @@
                 answers.append((body["roost"], len(answer.get("perches", ()))))
             return status, answer
 
-        world.net.hosts["cloud:1"] = cloud
-        await world.submit(job("wk-000001", 2000, guess_s=60.0))
-        while world.cloud.rented < 420:
+        simulation.net.hosts["cloud:1"] = cloud
+        await simulation.submit(job("wk-000001", 2000, guess_s=60.0))
+        while simulation.cloud.rented < 420:
             await asyncio.sleep(0.1)
         await asyncio.sleep(6.0)
 
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -14,8 +14,8 @@
 from petrelthread.scheduling.start_validator import Start
 from petrelthread.state import RECORDS_PER_EPOCH, epoch_base_number
 from tests.scheduling_cluster import EPOCH, Cluster, cluster_test, now
+from tests.simulation import job
 from tests.virtual import play
-from tests.world import job
 
 JOB = "wk-000001"
 
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -21,7 +21,7 @@
 from petrelthread.state import Attempt
 from tests.placement_model import model, random_case, task_placements
 from tests.scheduling_cluster import ZONES, Cluster, cluster_test, now
-from tests.world import job
+from tests.simulation import job
 
 
 class CapacitySnapshot(NamedTuple):
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -6,7 +6,7 @@
 from petrelthread.scheduling.job_order import MAX_START_DELAY_S
 from petrelthread.state import OperationState, transition
 from tests.scheduling_cluster import Cluster, cluster_test, now
-from tests.world import job
+from tests.simulation import job
 
 OVERDUE_S = MAX_START_DELAY_S + 27.0
 
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -10,7 +10,7 @@
 from petrelthread.scheduling.start_validator import Start, Violation
 from petrelthread.state import Job, encode
 from tests.scheduling_cluster import EPOCH, Cluster, cluster_test
-from tests.world import job
+from tests.simulation import job
 
 pytestmark = pytest.mark.refused_starts_expected
 A, B = "a", "b"
--- a/petrelthread/settings/test_settings.py
+++ b/petrelthread/settings/test_settings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from petrelthread.settings import SettingsError, load, parse
-from tests.world import SETTINGS
+from tests.simulation import SETTINGS
 
 GOOD = SETTINGS.format(name="n0", siblings="")
 
--- a/petrelthread/state/conftest.py
+++ b/petrelthread/state/conftest.py
@@ -9,7 +9,7 @@
 
 from petrelthread.protocol import parse_job
 from petrelthread.state import ClusterState, InternedNames, JobRecord
-from tests.world import job
+from tests.simulation import job
 
 ClusterStateMaker = Callable[[dict[str, int]], ClusterState]
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tests.world import MACHINE_TYPES, SETTINGS, Deployment, World, job
+from tests.simulation import MACHINE_TYPES, SETTINGS, Deployment, Simulation, job
 
 MACHINES = 970
 TEAMS = 16
@@ -76,7 +76,7 @@
 class Load:
     """Jobs of two classes, as many as keep all machines at work for a while."""
 
-    world: World
+    simulation: Simulation
     count: int = 0
     asked: dict[str, float] = field(default_factory=dict)  # when each job was accepted
 
@@ -86,5 +86,5 @@
             crew = f"team-{self.count % TEAMS:02d}"
             spec = job(f"wk-{self.count:06d}", tasks, team=crew, estimated_run_s=20.0, **more)
             spec["bundle"] = f"img-{self.count % 6}"
-            await self.world.submit(spec)
+            await self.simulation.submit(spec)
             self.asked[spec["name_id"]] = asyncio.get_running_loop().time()
--- a/tests/fleet_builder.py
+++ b/tests/fleet_builder.py
@@ -17,7 +17,7 @@
     OperationState,
     epoch_base_number,
 )
-from tests.world import job
+from tests.simulation import job
 
 LEASE_S = 10.0
 HEARTBEAT_INTERVAL_S = 1.0
--- a/tests/golden_data.py
+++ b/tests/golden_data.py
@@ -15,7 +15,7 @@
 
 from petrelthread.emulator.environment import RequestHandler
 from petrelthread.http import ClientResponse, Response
-from tests.world import World
+from tests.simulation import Simulation
 
 DIRECTORY = Path(__file__).parent / "golden"
 FIXTURES: dict[str, Any] = {
@@ -65,11 +65,11 @@
 class RecordedHosts(dict[str, RequestHandler]):
     """Records every request that reaches an address of the network, and its answer."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, simulation: Simulation) -> None:
         self.exchanges: list[dict[str, Any]] = []
-        for address, handler in world.net.hosts.items():
+        for address, handler in simulation.net.hosts.items():
             self[address] = handler
-        world.net.hosts = self
+        simulation.net.hosts = self
 
     def __setitem__(self, address: str, handler: RequestHandler) -> None:
         async def recorded(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -7,24 +7,25 @@
 from typing import Any
 
 from petrelthread.http import NoResponseError
+from tests.simulated_network import DeliveryRule
+from tests.simulation import NODES, SMALL, Deployment, Simulation
 from tests.virtual import play
-from tests.world import NODES, SMALL, Deployment, Fate, World
 
-Scenario = Callable[[World], Awaitable[None]]
+Scenario = Callable[[Simulation], Awaitable[None]]
 
 
-def run(scenario: Scenario, seed: int = 1, deployment: Deployment = SMALL) -> World:
+def run(scenario: Scenario, seed: int = 1, deployment: Deployment = SMALL) -> Simulation:
     """Play a scenario and a calm time after it; no invariant may be violated."""
 
-    async def main() -> World:
-        world = World(seed, deployment)
-        await scenario(world)
-        await world.calm(80.0)  # late messages get their chance
-        assert not world.checker.violations, world.checker.violations
-        assert world.checker.start_count > 0
-        return world
+    async def main() -> Simulation:
+        simulation = Simulation(seed, deployment)
+        await scenario(simulation)
+        await simulation.end_faults(80.0)  # late messages get their chance
+        assert not simulation.checker.violations, simulation.checker.violations
+        assert simulation.checker.start_count > 0
+        return simulation
 
-    result: World = play(main())
+    result: Simulation = play(main())
     return result
 
 
@@ -38,36 +39,36 @@
     return [node for node in NODES if node != name]
 
 
-def lost_transaction_answers(world: World, share: float, late: bool) -> Fate:
+def lost_transaction_answers(simulation: Simulation, share: float, late: bool) -> DeliveryRule:
     """Some transactions get no answer; they are carried out at once, or 2 to 12 s later."""
 
     def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
-        if target == "/multi" and world.random.random() < share:
-            return (world.random.uniform(2.0, 12.0) if late else 0.0), True
+        if target == "/multi" and simulation.random.random() < share:
+            return (simulation.random.uniform(2.0, 12.0) if late else 0.0), True
         return 0.0, False
 
     return fate
 
 
-async def cancel_at(world: World, job_id: str, nodes: list[str]) -> bool:
+async def cancel_at(simulation: Simulation, job_id: str, nodes: list[str]) -> bool:
     """One try to cancel at each of these nodes. True if one of them confirmed it."""
     for node in nodes:
-        if await world.try_to_cancel(job_id, node) == "aborted":
+        if await simulation.try_to_cancel(job_id, node) == "aborted":
             return True
     return False
 
 
-async def query_all_controllers(world: World, job_id: str) -> None:
+async def query_all_controllers(simulation: Simulation, job_id: str) -> None:
     """Ask all nodes at the same moment, and repeat the submission there."""
 
     async def one(node: str, method: str, path: str, body: Any) -> None:
         try:
-            status, answer = await world.ask(node, method, path, body)
+            status, answer = await simulation.ask(node, method, path, body)
         except NoResponseError:
             return
-        world.checker.record_answer(job_id, status, answer)
+        simulation.checker.record_answer(job_id, status, answer)
         assert status not in (400, 422), (job_id, node, answer)
 
-    asks = [one(node, "GET", f"/v2/runs/{job_id}", None) for node in world.nodes]
-    asks += [one(node, "POST", "/v2/runs", world.jobs[job_id]) for node in world.nodes]
+    asks = [one(node, "GET", f"/v2/runs/{job_id}", None) for node in simulation.nodes]
+    asks += [one(node, "POST", "/v2/runs", simulation.jobs[job_id]) for node in simulation.nodes]
     await asyncio.gather(*asks)
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -27,8 +27,8 @@
     JobRecord,
     epoch_base_number,
 )
+from tests.simulation import MACHINE_TYPES, SETTINGS, job
 from tests.virtual import play
-from tests.world import MACHINE_TYPES, SETTINGS, job
 
 Params = ParamSpec("Params")
 
--- a/tests/world.py
+++ b/tests/simulation.py
@@ -10,7 +10,7 @@
 import contextvars
 import math
 import random
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Any
 
@@ -18,19 +18,15 @@
 
 from petrelthread.controller import Controller
 from petrelthread.emulator.cloud import Cloud
-from petrelthread.emulator.environment import RequestHandler
 from petrelthread.emulator.invariant_checker import InvariantChecker
 from petrelthread.emulator.state_service import StateService
 from petrelthread.emulator.worker import Worker
 from petrelthread.emulator.workload import job_spec
-from petrelthread.http import ClientResponse, NoResponseError
+from petrelthread.http import NoResponseError
 from petrelthread.settings import Settings, parse
+from tests.simulated_network import SimulatedNetwork
 from tests.virtual import PROCESS, VirtualLoop
 
-# Decides the fate of a message: seconds of delay before it is carried out, and whether its answer
-# is lost. None: it is lost at once.
-Fate = Callable[[str, str, str, str, Any], tuple[float, bool] | None]
-
 SETTINGS = """
 host_name = "{name}"
 zone = "a"
@@ -98,7 +94,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """What a world is made of. The default is as small as the failures allow."""
+    """The programs and machines of a simulation; by default as few as the faults allow."""
 
     text: str = SETTINGS
     nodes: tuple[str, ...] = NODES
@@ -133,92 +129,9 @@
 job = job_spec
 
 
-class Net:
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.hosts: dict[str, RequestHandler] = {}
-        self.cut: set[frozenset[str]] = set()
-        self.fate: Fate | None = None
-        # Machines with one-way partitions: no answer or command reaches the first, and nothing
-        # that the second send arrives.
-        self.not_receiving: set[str] = set()
-        self.not_sending: set[str] = set()
-        # By target: how many seconds an answer takes on its way back.
-        self.answer_delay: Callable[[str], float] = lambda target: 0.0
-        # Decides whether a request comes once more, and how many seconds later.
-        self.copy: Callable[[str, str, str, str], float | None] = lambda *request: None
-
-    def new_address(self, name: str) -> str:
-        return f"{name}:9"
-
-    def attach(self, address: str, name: str, handler: RequestHandler) -> None:
-        self.hosts[address] = handler
-
-    def detach(self, address: str) -> None:
-        self.hosts.pop(address, None)
-
-    def requester(self, source: str) -> Callable[..., Awaitable[ClientResponse]]:
-        async def request(
-            addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
-        ) -> ClientResponse:
-            # Bodies cross as bytes, so that nobody shares an object with anybody.
-            data = orjson.loads(orjson.dumps(body)) if body is not None else None
-            host = addr.partition(":")[0]
-            try:
-                async with asyncio.timeout(timeout):
-                    return await asyncio.shield(
-                        asyncio.ensure_future(self._carry(source, host, addr, method, target, data))
-                    )
-            except TimeoutError:
-                raise NoResponseError("timeout", True) from None
-
-        return request
-
-    async def _carry(
-        self, source: str, host: str, addr: str, method: str, target: str, body: Any
-    ) -> ClientResponse:
-        await asyncio.sleep(0.001)
-        if source in self.not_sending:
-            await asyncio.sleep(1000.0)
-        if frozenset((source, host)) in self.cut or addr not in self.hosts:
-            if addr in self.hosts:
-                await asyncio.sleep(1000.0)
-            raise NoResponseError("refused", False)
-        fate: tuple[float, bool] | None = (0.0, False)
-        if self.fate is not None:
-            fate = self.fate(source, addr, method, target, body)
-        if fate is None:
-            await asyncio.sleep(1000.0)
-            raise NoResponseError("lost", True)
-        if fate[0]:
-            await asyncio.sleep(fate[0])
-        while host in self.world.loop.still:
-            await asyncio.sleep(0.05)  # it lies in the socket's buffer
-        handler = self.hosts.get(addr)
-        if handler is None:
-            raise NoResponseError("gone", True)
-        if host in self.not_receiving:
-            await asyncio.sleep(1000.0)
-        late = self.copy(source, addr, method, target)
-        if late is not None:
-            self.world.background(self._again(late, source, addr, method, target, body))
-        status, answer = await handler(source, method, target, body)
-        if delay_s := self.answer_delay(target):
-            await asyncio.sleep(delay_s)
-        if fate[1] or source in self.not_receiving or frozenset((source, host)) in self.cut:
-            await asyncio.sleep(1000.0)
-        return ClientResponse(status, orjson.dumps(answer))
-
-    async def _again(
-        self, late: float, source: str, addr: str, method: str, target: str, body: Any
-    ) -> None:
-        await asyncio.sleep(late)
-        handler = self.hosts.get(addr)
-        if handler is not None:
-            await handler(source, method, target, body)  # nobody waits for the answer
-
+class Simulation:
+    """The controllers, workers, cloud and state service of one scenario, and its checker."""
 
-class World:
     def __init__(self, seed: int = 1, deployment: Deployment = SMALL) -> None:
         self.deployment = deployment
         cluster = deployment.settings_of(deployment.nodes[0]).cluster
@@ -233,10 +146,10 @@
         self.failing_tasks: set[str] = set()  # and single tasks
         self.jobs: dict[str, dict[str, Any]] = {}
         self.checker = InvariantChecker(self)
-        self.net = Net(self)
-        self.store = StateService(cluster.state.txn_ops, self.checker.record_put)
+        self.net = SimulatedNetwork(self)
+        self.state_service = StateService(cluster.state.txn_ops, self.checker.record_put)
         self.cloud = Cloud(self)
-        self.net.hosts["state:1"] = self.store.handle
+        self.net.hosts["state:1"] = self.state_service.handle
         self.net.hosts["cloud:1"] = self.cloud.handle
         self.nodes: dict[str, Controller] = {}
         self._running: dict[str, asyncio.Task[None]] = {}
@@ -294,17 +207,17 @@
         assert isinstance(loop, VirtualLoop)
         return loop
 
-    async def stand_still(self, name: str, for_s: float) -> None:
+    async def pause(self, name: str, for_s: float) -> None:
         """The process does nothing while its clocks run on; what comes for it waits."""
-        self.loop.still.add(name)
+        self.loop.paused.add(name)
         await asyncio.sleep(for_s)
-        self.loop.go_on(name)
+        self.loop.resume(name)
 
     @property
     def leader(self) -> str | None:
         return next((n for n, node in self.nodes.items() if node.election.is_leader), None)
 
-    async def led(self) -> str:
+    async def wait_for_leader(self) -> str:
         while self.leader is None:
             await asyncio.sleep(0.1)
         return self.leader
@@ -369,7 +282,7 @@
         self.checker.check_answers()
         self.checker.check_waiting_jobs()
 
-    async def until_over(self, within_s: float) -> None:
+    async def wait_until_over(self, within_s: float) -> None:
         """Poll every job on every node until all have reached their final state."""
         end = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < end:
@@ -382,7 +295,7 @@
         states = {j: self.checker.statuses.get(j) for j in self.jobs}
         raise AssertionError(f"not over after {within_s} s: {states}")
 
-    async def calm(self, for_s: float) -> None:
+    async def end_faults(self, for_s: float) -> None:
         """No trouble any more, while users go on asking every 5 s."""
         self.checker.faults_ended_at = asyncio.get_running_loop().time()
         for _ in range(int(for_s / 5.0)):
@@ -390,7 +303,7 @@
             await self.poll()
             self.checker.check_cancellations()
 
-    async def running(self, count: int) -> list[str]:
+    async def wait_until_running(self, count: int) -> list[str]:
         """Wait until so many tasks run; their names."""
         while True:
             now_on = [
@@ -400,7 +313,7 @@
                 return now_on
             await asyncio.sleep(0.1)
 
-    def where(self, task_id: str) -> Worker:
+    def worker_running(self, task_id: str) -> Worker:
         name = next(iter(self.checker.machines_by_task[task_id]))
         worker: Worker = self.cloud.machines[name].worker
         return worker
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -9,7 +9,7 @@
 
 from petrelthread.leadership import Role
 from tests.scenario import cancel_at, now, other_controllers, query_all_controllers, run
-from tests.world import NODES, World, job
+from tests.simulation import NODES, Simulation, job
 
 
 @pytest.mark.parametrize("unread", ["refused", "watch lost", "watch slow"])
@@ -24,14 +24,14 @@
     the watch lost, tasks of cancelled jobs ran on for longer than ``cancel_s``.
     """
 
-    async def scenario(world: World) -> None:
-        world.run_s = 200.0
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 200.0
         for n in (1, 2):
-            await world.submit(
+            await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=200.0)
             )
-        await world.running(8)
-        leader = await world.led()
+        await simulation.wait_until_running(8)
+        leader = await simulation.wait_for_leader()
 
         def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             if source == leader and target.startswith("/watch"):
@@ -39,33 +39,35 @@
             return 0.0, False
 
         if unread == "refused":
-            world.store.refused.add(leader)
+            simulation.state_service.refused.add(leader)
         else:
-            world.net.fate = fate
+            simulation.net.delivery_rule = fate
         # The watch that is still open tells one more change; what comes after it stays unread.
-        world.run_s_by_job["wk-000003"] = 1.0
-        await world.submit(job("wk-000003", 1, team="guest"), nodes=other_controllers(leader))
+        simulation.run_s_by_job["wk-000003"] = 1.0
+        await simulation.submit(job("wk-000003", 1, team="guest"), nodes=other_controllers(leader))
         await asyncio.sleep(0.1)
         confirmed = 0
         until = now() + before_s
         while now() < until:
-            if not confirmed and await cancel_at(world, "wk-000001", other_controllers(leader)):
+            if not confirmed and await cancel_at(
+                simulation, "wk-000001", other_controllers(leader)
+            ):
                 confirmed += 1
             await asyncio.sleep(0.1)
         assert confirmed
-        world.store.set_outage(True)
-        if world.net.fate is not None:
-            world.net.fate = None
+        simulation.state_service.set_outage(True)
+        if simulation.net.delivery_rule is not None:
+            simulation.net.delivery_rule = None
         await asyncio.sleep(12.0)
-        world.store.refused.clear()
+        simulation.state_service.refused.clear()
         for _ in range(60):
             await asyncio.sleep(1.0)
-            world.checker.check_cancellations()
-            assert not world.checker.violations, world.checker.violations
-        world.store.set_outage(False)
+            simulation.checker.check_cancellations()
+            assert not simulation.checker.violations, simulation.checker.violations
+        simulation.state_service.set_outage(False)
         await asyncio.sleep(5.0)
-        await cancel_at(world, "wk-000002", list(NODES))
-        await world.until_over(60.0)
+        await cancel_at(simulation, "wk-000002", list(NODES))
+        await simulation.wait_until_over(60.0)
 
     run(scenario, seed)
 
@@ -73,23 +75,23 @@
 def test_a_controller_without_the_lead_still_stops_cancelled_tasks() -> None:
     """A final state is durable and never changes, so to halt for it needs no right to command."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 100.0
-        await world.submit(job("wk-000001", 4, estimated_run_s=100.0))
-        await world.running(4)
-        leader = await world.led()
-        unreachable = set(world.cloud.machines)
-        world.net.not_receiving |= unreachable  # so that the halts sent at once are lost
-        assert await cancel_at(world, "wk-000001", list(NODES))
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 100.0
+        await simulation.submit(job("wk-000001", 4, estimated_run_s=100.0))
+        await simulation.wait_until_running(4)
+        leader = await simulation.wait_for_leader()
+        unreachable = set(simulation.cloud.machines)
+        simulation.net.not_receiving |= unreachable  # so that the halts sent at once are lost
+        assert await cancel_at(simulation, "wk-000001", list(NODES))
         await asyncio.sleep(0.5)
-        world.store.set_outage(True)
+        simulation.state_service.set_outage(True)
         await asyncio.sleep(4.0)
-        assert world.nodes[leader].election.role is Role.LEASE_GRACE
-        world.net.not_receiving -= unreachable
+        assert simulation.nodes[leader].election.role is Role.LEASE_GRACE
+        simulation.net.not_receiving -= unreachable
         await asyncio.sleep(4.0)
-        assert not any(world.checker.machines_by_task.values())
-        world.store.set_outage(False)
-        await world.until_over(60.0)
+        assert not any(simulation.checker.machines_by_task.values())
+        simulation.state_service.set_outage(False)
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
 
@@ -97,24 +99,24 @@
 def test_a_leader_that_has_not_read_a_cancellation_starts_nothing_of_the_job() -> None:
     """From the confirmation on no task may start, however far behind the leader's watch is."""
 
-    async def scenario(world: World) -> None:
-        leader = await world.led()
+    async def scenario(simulation: Simulation) -> None:
+        leader = await simulation.wait_for_leader()
         for n in (1, 2):
-            await world.submit(job(f"wk-{n:06d}", 2, estimated_run_s=5.0))
+            await simulation.submit(job(f"wk-{n:06d}", 2, estimated_run_s=5.0))
         await asyncio.sleep(1.0)
-        world.net.fate = lambda source, addr, method, target, body: (
+        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
             (0.0, source == leader and target.startswith("/watch"))
         )
         await asyncio.sleep(0.2)
-        await world.submit(
+        await simulation.submit(
             job("wk-000003", 1), nodes=other_controllers(leader)
         )  # ends the watch still open
-        assert await cancel_at(world, "wk-000001", other_controllers(leader))
+        assert await cancel_at(simulation, "wk-000001", other_controllers(leader))
         await asyncio.sleep(8.0)  # its machines are up meanwhile
-        world.net.fate = None
-        await world.until_over(60.0)
+        simulation.net.delivery_rule = None
+        await simulation.wait_until_over(60.0)
         assert not [
-            task_id for task_id in world.checker.started_at if task_id.startswith("wk-000001/")
+            task_id for task_id in simulation.checker.started_at if task_id.startswith("wk-000001/")
         ]
 
     run(scenario)
@@ -127,50 +129,52 @@
 ) -> None:
     """Cancelled tasks count in their team's limit until they are surely gone, for each leader."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 60.0
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 60.0
         for n in range(6):
-            await world.submit(
+            await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=60.0)
             )
-        task_ids = await world.running(12)  # both limits of 12 cores
+        task_ids = await simulation.wait_until_running(12)  # both limits of 12 cores
         first = {task_id.rpartition("/")[0] for task_id in task_ids}
-        names = {world.where(task_id).name for task_id in task_ids[:5]}
-        workers = [world.cloud.machines[name].worker for name in names]
+        names = {simulation.worker_running(task_id).name for task_id in task_ids[:5]}
+        workers = [simulation.cloud.machines[name].worker for name in names]
         if lost == "cut":
-            world.net.cut |= {frozenset((name, node)) for name in names for node in NODES}
+            simulation.net.partitions |= {
+                frozenset((name, node)) for name in names for node in NODES
+            }
         elif lost == "not receiving":
-            world.net.not_receiving |= names
+            simulation.net.not_receiving |= names
         else:
             for worker in workers:
                 worker.frozen = True
-        await asyncio.gather(*(world.cancel(job_id) for job_id in sorted(first)[:2]))
-        leader = await world.led()
+        await asyncio.gather(*(simulation.cancel(job_id) for job_id in sorted(first)[:2]))
+        leader = await simulation.wait_for_leader()
         if change == "still":
-            await world.stand_still(leader, 8.0)
+            await simulation.pause(leader, 8.0)
         elif change == "refused":
-            world.store.refused.add(leader)
+            simulation.state_service.refused.add(leader)
             await asyncio.sleep(8.0)
-            world.store.refused.clear()
+            simulation.state_service.refused.clear()
         else:
-            world.crash(leader)
+            simulation.crash(leader)
             await asyncio.sleep(0.1 if change == "quick" else 5.0)
-            world.boot(leader)
+            simulation.boot(leader)
         for _ in range(16):
             await asyncio.sleep(0.5)
-            world.checker.check_cancellations()
+            simulation.checker.check_cancellations()
         for worker in workers:
             worker.frozen = False
-        world.net.not_receiving.clear()
-        world.net.cut.clear()
-        world.checker.faults_ended_at = now()
+        simulation.net.not_receiving.clear()
+        simulation.net.partitions.clear()
+        simulation.checker.faults_ended_at = now()
         for _ in range(40):
             await asyncio.sleep(1.0)
-            await world.poll()
-            world.checker.check_cancellations()
-        for job_id in world.jobs:
-            await world.cancel(job_id)
-        await world.until_over(100.0)
+            await simulation.poll()
+            simulation.checker.check_cancellations()
+        for job_id in simulation.jobs:
+            await simulation.cancel(job_id)
+        await simulation.wait_until_over(100.0)
 
     run(scenario)
 
@@ -180,41 +184,41 @@
 def test_jobs_are_cancelled_during_a_failover(change: str, seed: int) -> None:
     """Before, during and after the take-over, at whatever node is there."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 50.0
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 50.0
         for n in range(10):
             crew = ("red", "blue", "guest")[n % 3]
-            await world.submit(job(f"wk-{n:06d}", 2, team=crew, estimated_run_s=50.0))
-        await world.running(8)
+            await simulation.submit(job(f"wk-{n:06d}", 2, team=crew, estimated_run_s=50.0))
+        await simulation.wait_until_running(8)
 
         async def users() -> None:
             for n in range(8):
-                await asyncio.sleep(world.random.uniform(0.0, 0.9))
-                await world.cancel(f"wk-{n:06d}")
-                await query_all_controllers(world, f"wk-{n:06d}")
+                await asyncio.sleep(simulation.random.uniform(0.0, 0.9))
+                await simulation.cancel(f"wk-{n:06d}")
+                await query_all_controllers(simulation, f"wk-{n:06d}")
 
         cancelling = asyncio.ensure_future(users())
         await asyncio.sleep(0.5)
-        leader = await world.led()
+        leader = await simulation.wait_for_leader()
         if change == "resigns":
-            await world.nodes[leader].election.resign("a test asks for it", 15.0)
+            await simulation.nodes[leader].election.resign("a test asks for it", 15.0)
         elif change == "refused":
-            world.store.refused.add(leader)
+            simulation.state_service.refused.add(leader)
             await asyncio.sleep(6.0)
-            world.store.refused.clear()
+            simulation.state_service.refused.clear()
         else:
             for name in [leader] if change != "rolls" else [*other_controllers(leader), leader]:
-                world.crash(name)
+                simulation.crash(name)
                 await asyncio.sleep(3.0 if change == "crash" else 0.2)
-                world.boot(name)
+                simulation.boot(name)
                 await asyncio.sleep(0.4)
         await cancelling
         await asyncio.sleep(12.0)
-        running = world.checker.machines_by_task
+        running = simulation.checker.machines_by_task
         left = {task_id.rpartition("/")[0] for task_id, machines in running.items() if machines}
-        assert not left & set(world.checker.cancelled_at)
-        world.checker.faults_ended_at = now()
-        await world.until_over(150.0)
+        assert not left & set(simulation.checker.cancelled_at)
+        simulation.checker.faults_ended_at = now()
+        await simulation.wait_until_over(150.0)
 
     run(scenario, seed)
 
@@ -222,18 +226,18 @@
 def test_a_quarter_of_many_small_jobs_is_cancelled() -> None:
     """All are accepted, none is forgotten, and cancellations are confirmed without delay."""
 
-    async def scenario(world: World) -> None:
-        await world.led()
-        world.run_s = 2.0
+    async def scenario(simulation: Simulation) -> None:
+        await simulation.wait_for_leader()
+        simulation.run_s = 2.0
         slow: list[float] = []
 
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
-            await world.submit(job(job_id, 1, team="guest", cores=0.5, estimated_run_s=2.0))
+            await simulation.submit(job(job_id, 1, team="guest", cores=0.5, estimated_run_s=2.0))
             if number % 4 == 0:
-                await asyncio.sleep(world.random.uniform(0.0, 2.0))
+                await asyncio.sleep(simulation.random.uniform(0.0, 2.0))
                 asked = now()
-                await world.cancel(job_id)
+                await simulation.cancel(job_id)
                 slow.append(now() - asked)
 
         users = []
@@ -242,7 +246,7 @@
             await asyncio.sleep(0.25)
         await asyncio.gather(*users)
         assert max(slow) < 2.0
-        await world.until_over(60.0)
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
 
@@ -251,40 +255,43 @@
 def test_cancellation_query_and_resubmission_meet_the_end_of_the_last_task(seed: int) -> None:
     """Either final state may win, but only one, and done only if all tasks are."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 3.0
-        await world.led()
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 3.0
+        await simulation.wait_for_leader()
 
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
             spec = job(job_id, 1 + number % 2, team=("red", "blue", "guest")[number % 3])
-            await world.submit(spec)
+            await simulation.submit(spec)
             last = f"{job_id}/{spec['legs'] - 1}"
-            while last not in world.checker.completed_tasks:
+            while last not in simulation.checker.completed_tasks:
                 await asyncio.sleep(0.02)
-            await asyncio.sleep(world.random.uniform(0.0, 0.6))
+            await asyncio.sleep(simulation.random.uniform(0.0, 0.6))
             await asyncio.gather(
-                *(world.try_to_cancel(job_id, node) for node in world.random.sample(NODES, 2)),
-                query_all_controllers(world, job_id),
+                *(
+                    simulation.try_to_cancel(job_id, node)
+                    for node in simulation.random.sample(NODES, 2)
+                ),
+                query_all_controllers(simulation, job_id),
             )
-            await query_all_controllers(world, job_id)
+            await query_all_controllers(simulation, job_id)
 
         await asyncio.gather(*(user(n) for n in range(12)))
-        await world.until_over(60.0)
+        await simulation.wait_until_over(60.0)
 
     run(scenario, seed)
 
 
 @pytest.mark.parametrize("after", [0.0, 0.3, 5.5, 6.2, 7.5])
 def test_a_cancellation_races_a_start(after: float) -> None:
-    async def scenario(world: World) -> None:
-        world.run_s = 60.0
-        await world.submit(job("wk-000001", 4))
-        await world.submit(job("wk-000002", 2, team="blue"))
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 60.0
+        await simulation.submit(job("wk-000001", 4))
+        await simulation.submit(job("wk-000002", 2, team="blue"))
         await asyncio.sleep(after)
-        assert await world.cancel("wk-000001") == "aborted"
-        assert await world.cancel("wk-000001") == "aborted"
-        await world.until_over(150.0)
+        assert await simulation.cancel("wk-000001") == "aborted"
+        assert await simulation.cancel("wk-000001") == "aborted"
+        await simulation.wait_until_over(150.0)
 
-    world = run(scenario)
-    assert world.checker.statuses["wk-000001"] == "aborted"
+    simulation = run(scenario)
+    assert simulation.checker.statuses["wk-000001"] == "aborted"
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from tests.scenario import run
-from tests.world import World, job
+from tests.simulation import Simulation, job
 
 ANSWER_LATE_S = 0.05  # the watch shows a record well before its claim is answered
 
@@ -14,7 +14,7 @@
     """A leader must not take its own rounds for late copies of settled ones."""
     recorded = 0
 
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: Simulation) -> None:
         def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             nonlocal recorded
             for op in body["apply"] if target == "/multi" else ():
@@ -22,11 +22,11 @@
                     recorded += sum(len(tasks) for _, _, jobs in op["v"] for _, tasks in jobs)
             return 0.0, False
 
-        world.net.fate = fate
-        world.net.answer_delay = lambda target: ANSWER_LATE_S if target == "/multi" else 0.0
+        simulation.net.delivery_rule = fate
+        simulation.net.answer_delay = lambda target: ANSWER_LATE_S if target == "/multi" else 0.0
         for n in range(4):
-            await world.submit(job(f"wk-{n:06d}", 3, team="red" if n % 2 else "blue"))
-        await world.until_over(120.0)
+            await simulation.submit(job(f"wk-{n:06d}", 3, team="red" if n % 2 else "blue"))
+        await simulation.wait_until_over(120.0)
 
-    world = run(scenario)
-    assert world.checker.start_count == recorded == 12
+    simulation = run(scenario)
+    assert simulation.checker.start_count == recorded == 12
--- a/tests/test_cloud_faults.py
+++ b/tests/test_cloud_faults.py
@@ -9,34 +9,34 @@
 import pytest
 
 from tests.scenario import now, run
-from tests.world import SMALL, World, job
+from tests.simulation import SMALL, Simulation, job
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_machines_boot_at_once_while_writes_are_slow_and_the_leader_ends(seed: int) -> None:
     """A start is on record before it is sent, so that the next leader knows of it."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 15.0
-        await world.led()
-        world.net.fate = lambda source, addr, method, target, body: (
-            (world.random.uniform(0.3, 0.9), world.random.random() < 0.1)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 15.0
+        await simulation.wait_for_leader()
+        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
+            (simulation.random.uniform(0.3, 0.9), simulation.random.random() < 0.1)
             if target == "/multi"
             else (0.0, False)
         )
         for n in range(4):
-            await world.submit(
+            await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=15.0)
             )
         for _ in range(4):
-            await asyncio.sleep(world.random.uniform(0.4, 5.0))
-            leader = await world.led()
-            world.crash(leader)
-            await asyncio.sleep(world.random.choice([0.1, 1.5]))
-            world.boot(leader)
-        world.net.fate = None
-        world.checker.faults_ended_at = now()
-        await world.until_over(200.0)
+            await asyncio.sleep(simulation.random.uniform(0.4, 5.0))
+            leader = await simulation.wait_for_leader()
+            simulation.crash(leader)
+            await asyncio.sleep(simulation.random.choice([0.1, 1.5]))
+            simulation.boot(leader)
+        simulation.net.delivery_rule = None
+        simulation.checker.faults_ended_at = now()
+        await simulation.wait_until_over(200.0)
 
     run(
         scenario,
@@ -49,7 +49,7 @@
 def test_the_answer_to_a_scale_out_is_lost(startup_s: float) -> None:
     """Machines up within a second report before anybody has told us of them."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: Simulation) -> None:
         lost = 0
 
         def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
@@ -59,39 +59,41 @@
                 return 0.0, True
             return 0.0, False
 
-        world.net.fate = fate
-        await world.submit(job("wk-000001", 4))
-        await world.until_over(60.0)
+        simulation.net.delivery_rule = fate
+        await simulation.submit(job("wk-000001", 4))
+        await simulation.wait_until_over(60.0)
         assert lost == 2
 
     machine_types = tuple({**kind, "startup_s": startup_s} for kind in SMALL.machine_types)
-    world = run(scenario, deployment=replace(SMALL, machine_types=machine_types))
-    assert world.cloud.rented <= 3  # 4 tasks of 2 cores on machines of 4: repeated, not rented anew
+    simulation = run(scenario, deployment=replace(SMALL, machine_types=machine_types))
+    assert (
+        simulation.cloud.rented <= 3
+    )  # 4 tasks of 2 cores on machines of 4: repeated, not rented anew
 
 
 def test_a_leader_is_replaced_before_it_records_the_machines_of_a_scale_out() -> None:
-    async def scenario(world: World) -> None:
-        first = await world.led()
+    async def scenario(simulation: Simulation) -> None:
+        first = await simulation.wait_for_leader()
 
         def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             if addr == "cloud:1" and target == "/hosts" and method == "POST" and source == first:
                 return 0.0, True
             return 0.0, False
 
-        world.net.fate = fate
-        await world.submit(job("wk-000001", 4))
-        while not world.cloud.rented:
+        simulation.net.delivery_rule = fate
+        await simulation.submit(job("wk-000001", 4))
+        while not simulation.cloud.rented:
             await asyncio.sleep(0.05)
-        world.crash(first)
-        await world.until_over(60.0)
-        world.boot(first)
+        simulation.crash(first)
+        await simulation.wait_until_over(60.0)
+        simulation.boot(first)
 
-    world = run(scenario)
-    assert world.cloud.rented <= 4
+    simulation = run(scenario)
+    assert simulation.cloud.rented <= 4
 
 
 def test_machines_of_a_late_scale_out_are_used_or_returned() -> None:
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: Simulation) -> None:
         first = True
 
         def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
@@ -101,54 +103,54 @@
                 return 45.0, False
             return 0.0, False
 
-        world.net.fate = fate
-        await world.submit(job("wk-000001", 4))
-        await world.until_over(60.0)
+        simulation.net.delivery_rule = fate
+        await simulation.submit(job("wk-000001", 4))
+        await simulation.wait_until_over(60.0)
         await asyncio.sleep(60.0)
 
-    world = run(scenario)
-    assert not world.cloud.machines
+    simulation = run(scenario)
+    assert not simulation.cloud.machines
 
 
 def test_a_new_leader_does_not_repeat_refused_scale_outs() -> None:
     """Records of refused requests that are not deleted yet must not be sent again."""
 
-    async def scenario(world: World) -> None:
-        world.cloud.capacity = {True: 0, False: 0}
-        node = world.nodes[await world.led()]
+    async def scenario(simulation: Simulation) -> None:
+        simulation.cloud.capacity = {True: 0, False: 0}
+        node = simulation.nodes[await simulation.wait_for_leader()]
         node.scheduler.claim_builder.spare_writes = lambda now: 0  # none to strike them out with
-        await world.submit(job("wk-000001", 4, estimated_run_s=10.0))
+        await simulation.submit(job("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
-        old = set(world.cloud.requests)
+        old = set(simulation.cloud.requests)
         assert len(old) > 3
         await asyncio.sleep(25.0)
-        world.cloud.capacity = {True: 6, False: 6}
-        world.crash(node.settings.host_name)
+        simulation.cloud.capacity = {True: 6, False: 6}
+        simulation.crash(node.settings.host_name)
         await asyncio.sleep(60.0)
-        assert not old & set(world.cloud.granted)
-        await world.until_over(60.0)
+        assert not old & set(simulation.cloud.granted)
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
 
 
 @pytest.mark.parametrize("never", [False, True])
 def test_machines_that_boot_late_or_never_are_replaced(never: bool) -> None:
-    async def scenario(world: World) -> None:
-        world.boot_delay_s = 900.0 if never else 25.0
-        await world.submit(job("wk-000001", 8, estimated_run_s=5.0))
+    async def scenario(simulation: Simulation) -> None:
+        simulation.boot_delay_s = 900.0 if never else 25.0
+        await simulation.submit(job("wk-000001", 8, estimated_run_s=5.0))
         await asyncio.sleep(3.0)
-        first = set(world.cloud.machines)
-        world.boot_delay_s = 0.0
+        first = set(simulation.cloud.machines)
+        simulation.boot_delay_s = 0.0
         await asyncio.sleep(17.0)
-        others = set(world.cloud.machines) - first
+        others = set(simulation.cloud.machines) - first
         assert others  # late ones are not counted on any more
-        _, got = await world.ask_admin("n0", "status")
-        if first & set(world.cloud.machines):
+        _, got = await simulation.ask_admin("n0", "status")
+        if first & set(simulation.cloud.machines):
             assert any("late in booting" in t["trouble"] for t in got["troubles"])
         await asyncio.sleep(20.0)
         if never:
-            assert not first & set(world.cloud.machines)  # they went back
-        await world.until_over(60.0)
+            assert not first & set(simulation.cloud.machines)  # they went back
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
 
@@ -156,13 +158,15 @@
 def test_first_submissions_are_not_refused_for_lack_of_the_catalogue() -> None:
     """A new leader read it at its next turn, up to 1.5 s later; users come back only after 1 s."""
 
-    async def scenario(world: World) -> None:
-        await world.led()
+    async def scenario(simulation: Simulation) -> None:
+        await simulation.wait_for_leader()
         await asyncio.sleep(0.3)
-        world.jobs["wk-000001"] = job("wk-000001", 2)
-        status, answer = await world.ask("n0", "POST", "/v2/runs", world.jobs["wk-000001"])
+        simulation.jobs["wk-000001"] = job("wk-000001", 2)
+        status, answer = await simulation.ask(
+            "n0", "POST", "/v2/runs", simulation.jobs["wk-000001"]
+        )
         assert status == 201
-        world.checker.record_answer("wk-000001", status, answer)
-        await world.until_over(60.0)
+        simulation.checker.record_answer("wk-000001", status, answer)
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -11,14 +11,14 @@
 
 from petrelthread.emulator.worker import Worker
 from tests.scenario import run
-from tests.world import NODES, World, job
+from tests.simulation import NODES, Simulation, job
 
 
 @dataclass(frozen=True)
 class FaultTarget:
     """What one drawn fault strikes, and for how long."""
 
-    world: World
+    simulation: Simulation
     chance: random.Random
     node: str
     for_s: float
@@ -26,33 +26,33 @@
 
 async def crash(target: FaultTarget) -> None:
     """A controller ends and is back later."""
-    target.world.crash(target.node)
+    target.simulation.crash(target.node)
     await asyncio.sleep(target.for_s)
-    target.world.boot(target.node)
+    target.simulation.boot(target.node)
 
 
 async def pause(target: FaultTarget) -> None:
     """A controller's process is paused."""
-    await target.world.stand_still(target.node, target.for_s)
+    await target.simulation.pause(target.node, target.for_s)
 
 
 async def refuse(target: FaultTarget) -> None:
     """The state service refuses one controller."""
-    target.world.store.refused.add(target.node)
+    target.simulation.state_service.refused.add(target.node)
     await asyncio.sleep(target.for_s)
-    target.world.store.refused.discard(target.node)
+    target.simulation.state_service.refused.discard(target.node)
 
 
 async def outage(target: FaultTarget) -> None:
     """The state service is down."""
-    target.world.store.set_outage(True)
+    target.simulation.state_service.set_outage(True)
     await asyncio.sleep(min(target.for_s, 12.0))
-    target.world.store.set_outage(False)
+    target.simulation.state_service.set_outage(False)
 
 
 async def cut_from_workers(target: FaultTarget) -> None:
     """One controller reaches no worker."""
-    await _cut(target, set(target.world.cloud.machines))
+    await _cut(target, set(target.simulation.cloud.machines))
 
 
 async def cut_from_all_but_workers(target: FaultTarget) -> None:
@@ -62,9 +62,9 @@
 
 async def _cut(target: FaultTarget, others: set[str]) -> None:
     cuts = {frozenset((target.node, other)) for other in others}
-    target.world.net.cut |= cuts
+    target.simulation.net.partitions |= cuts
     await asyncio.sleep(target.for_s)
-    target.world.net.cut -= cuts
+    target.simulation.net.partitions -= cuts
 
 
 async def late_copies(target: FaultTarget) -> None:
@@ -74,34 +74,34 @@
     command from the first (docs/questions.md, 10).
     """
     chance = target.chance
-    target.world.net.copy = lambda source, addr, method, path: (
+    target.simulation.net.duplicate_rule = lambda source, addr, method, path: (
         chance.uniform(0.1, 30.0)
         if method == "POST" and path != "/do" and chance.random() < 0.2
         else None
     )
     await asyncio.sleep(target.for_s)
-    target.world.net.copy = lambda *request: None
+    target.simulation.net.duplicate_rule = lambda *request: None
 
 
 async def late_boots(target: FaultTarget) -> None:
     """Machines boot late."""
-    target.world.boot_delay_s = target.for_s
+    target.simulation.boot_delay_s = target.for_s
     await asyncio.sleep(15.0)
-    target.world.boot_delay_s = 0.0
+    target.simulation.boot_delay_s = 0.0
 
 
 async def receive_nothing(target: FaultTarget, worker: Worker) -> None:
     """A machine's heartbeats arrive, nothing reaches it."""
-    target.world.net.not_receiving.add(worker.name)
+    target.simulation.net.not_receiving.add(worker.name)
     await asyncio.sleep(target.for_s)
-    target.world.net.not_receiving.discard(worker.name)
+    target.simulation.net.not_receiving.discard(worker.name)
 
 
 async def send_nothing(target: FaultTarget, worker: Worker) -> None:
     """A machine reaches nobody, commands reach it."""
-    target.world.net.not_sending.add(worker.name)
+    target.simulation.net.not_sending.add(worker.name)
     await asyncio.sleep(target.for_s)
-    target.world.net.not_sending.discard(worker.name)
+    target.simulation.net.not_sending.discard(worker.name)
 
 
 async def hang(target: FaultTarget, worker: Worker) -> None:
@@ -159,22 +159,22 @@
 ]
 
 
-async def inject_fault(world: World, chance: random.Random) -> None:
+async def inject_fault(simulation: Simulation, chance: random.Random) -> None:
     """One fault of any kind, for a while."""
-    node = chance.choice(list(world.deployment.nodes))
-    if chance.random() < 0.5 and world.leader is not None:
-        node = world.leader
+    node = chance.choice(list(simulation.deployment.nodes))
+    if chance.random() < 0.5 and simulation.leader is not None:
+        node = simulation.leader
     for_s = chance.choice([0.1, 1.5, 4.0, 12.0, 25.0])
-    machines = sorted(world.cloud.machines)
+    machines = sorted(simulation.cloud.machines)
     kind = chance.choice(FAULT_KINDS)
-    down = node not in world.nodes
-    if (kind == "crash" and down) or (kind == "pause" and (down or node in world.loop.still)):
+    down = node not in simulation.nodes
+    if (kind == "crash" and down) or (kind == "pause" and (down or node in simulation.loop.paused)):
         kind = "lost"  # the controller is struck already: a machine ends instead
-    target = FaultTarget(world, chance, node, for_s)
+    target = FaultTarget(simulation, chance, node, for_s)
     if kind in CLUSTER_FAULTS:
         await CLUSTER_FAULTS[kind](target)
     elif machines:
-        worker = world.cloud.machines[chance.choice(machines)].worker
+        worker = simulation.cloud.machines[chance.choice(machines)].worker
         await MACHINE_FAULTS[kind](target, worker)
 
 
@@ -182,58 +182,58 @@
 def test_several_faults_at_once(seed: int) -> None:
     """The rules, nobody forgotten, all served once the troubles are over."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: Simulation) -> None:
         chance = random.Random(seed)
-        world.spread_s = 8.0
-        world.failing_jobs.add("wk-000003")
+        simulation.spread_s = 8.0
+        simulation.failing_jobs.add("wk-000003")
         for n in range(10):
             crew = ("red", "blue", "guest")[n % 3]
             rank = "low" if crew == "guest" else chance.choice(["standard", "high"])
             more = {"mark_s": 2.0, "stow_s": 1.0} if crew == "guest" else {}
             spec = job(f"wk-{n:06d}", chance.choice([1, 4, 20]), team=crew, priority=rank, **more)
-            await world.submit({**spec, "cores": chance.choice([1.0, 2.0, 4.0])})
-        await world.running(2)
+            await simulation.submit({**spec, "cores": chance.choice([1.0, 2.0, 4.0])})
+        await simulation.wait_until_running(2)
         ends = []
         for _ in range(8):
-            ends.append(asyncio.ensure_future(inject_fault(world, chance)))
+            ends.append(asyncio.ensure_future(inject_fault(simulation, chance)))
             await asyncio.sleep(chance.uniform(0.0, 8.0))
-            await world.poll()
-        await world.cancel("wk-000004")
+            await simulation.poll()
+        await simulation.cancel("wk-000004")
         await asyncio.gather(*ends)
-        assert await world.cancel("wk-000003") == "aborted"
-        await world.until_over(240.0)
+        assert await simulation.cancel("wk-000003") == "aborted"
+        await simulation.wait_until_over(240.0)
 
     run(scenario, seed)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_fault(seed: int) -> None:
-    async def scenario(world: World) -> None:
+    async def scenario(simulation: Simulation) -> None:
         for n in range(6):
             crew = "red" if n % 2 else "blue"
-            await world.submit(job(f"wk-{n:06d}", 3 + n, team=crew))
-        await world.until_over(120.0)
+            await simulation.submit(job(f"wk-{n:06d}", 3 + n, team=crew))
+        await simulation.wait_until_over(120.0)
 
-    world = run(scenario, seed)
-    assert world.checker.start_count == sum(3 + n for n in range(6))  # nothing ran in vain
-    assert not world.cloud.machines  # everything went back
-    left = [key for key in world.store.keys if key.startswith(("pt/c/", "pt/x/"))]
+    simulation = run(scenario, seed)
+    assert simulation.checker.start_count == sum(3 + n for n in range(6))  # nothing ran in vain
+    assert not simulation.cloud.machines  # everything went back
+    left = [key for key in simulation.state_service.keys if key.startswith(("pt/c/", "pt/x/"))]
     assert not left  # every call to the cloud is settled and struck out
 
 
 def test_a_state_service_outage_longer_than_a_worker_lease_stops_no_work() -> None:
-    async def scenario(world: World) -> None:
-        world.run_s = 30.0
-        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        await world.running(6)
-        world.store.set_outage(True)
-        status, _ = await world.ask("n0", "GET", "/v2/runs/wk-000001")
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 30.0
+        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.wait_until_running(6)
+        simulation.state_service.set_outage(True)
+        status, _ = await simulation.ask("n0", "GET", "/v2/runs/wk-000001")
         assert status == 503
         await asyncio.sleep(18.0)
-        world.store.set_outage(False)
-        await world.until_over(60.0)
-        killed = sum(m.worker.killed_by_lease for m in world.cloud.machines.values())
+        simulation.state_service.set_outage(False)
+        await simulation.wait_until_over(60.0)
+        killed = sum(m.worker.killed_by_lease for m in simulation.cloud.machines.values())
         assert not killed
 
-    world = run(scenario)
-    assert world.checker.start_count == 6
+    simulation = run(scenario)
+    assert simulation.checker.start_count == 6
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -29,20 +29,20 @@
 from petrelthread.emulator.workload import draw_jobs
 from petrelthread.http import NoResponseError
 from tests.scenario import now
+from tests.simulation import NODES, Simulation, job
 from tests.virtual import play
-from tests.world import NODES, World, job
 
 ROOT = Path(__file__).parent.parent
-Scenario = Callable[[World], None]
+Scenario = Callable[[Simulation], None]
 
 
 def violations_after(scenario: Scenario) -> list[str]:
     """The violations that the checker reports after the scenario."""
 
     async def run() -> list[str]:
-        world = World()
-        scenario(world)
-        return world.checker.violations
+        simulation = Simulation()
+        scenario(simulation)
+        return simulation.checker.violations
 
     violations: list[str] = play(run())
     return violations
@@ -53,9 +53,9 @@
     return MachineDescription(name, f"{name}:9", "small", zone, spot)
 
 
-def start(world: World, task_id: str, number: int, zone: str, spot: bool = False) -> None:
-    world.checker.recorded_tasks.add(task_id)
-    world.checker.record_start(task_id, machine_of(number, zone, spot), 0.0)
+def start(simulation: Simulation, task_id: str, number: int, zone: str, spot: bool = False) -> None:
+    simulation.checker.recorded_tasks.add(task_id)
+    simulation.checker.record_start(task_id, machine_of(number, zone, spot), 0.0)
 
 
 # ---- invariant checker ---------------------------------------------------------------------------
@@ -66,22 +66,22 @@
     [("same_place", "b"), ("scatter", "a")],  # a second zone; more than half in one zone
 )
 def test_third_task_in_wrong_zone_is_reported(flag: str, third_zone: str) -> None:
-    def scenario(world: World) -> None:
-        world.jobs["wk-000001"] = job("wk-000001", 3, **{flag: True})
-        start(world, "wk-000001/0", 1, "a")
-        start(world, "wk-000001/1", 2, "a")
-        assert not world.checker.violations
-        start(world, "wk-000001/2", 3, third_zone)
+    def scenario(simulation: Simulation) -> None:
+        simulation.jobs["wk-000001"] = job("wk-000001", 3, **{flag: True})
+        start(simulation, "wk-000001/0", 1, "a")
+        start(simulation, "wk-000001/1", 2, "a")
+        assert not simulation.checker.violations
+        start(simulation, "wk-000001/2", 3, third_zone)
 
     assert [text.partition(":")[0] for text in violations_after(scenario)] == ["wrong_place"]
 
 
 def test_single_zone_job_may_change_zone_once_all_tasks_have_left() -> None:
-    def scenario(world: World) -> None:
-        world.jobs["wk-000001"] = job("wk-000001", 2, single_zone=True)
-        start(world, "wk-000001/0", 1, "a")
-        world.checker.record_leave("wk-000001/0", "host-000001")
-        start(world, "wk-000001/0", 2, "b")
+    def scenario(simulation: Simulation) -> None:
+        simulation.jobs["wk-000001"] = job("wk-000001", 2, single_zone=True)
+        start(simulation, "wk-000001/0", 1, "a")
+        simulation.checker.record_leave("wk-000001/0", "host-000001")
+        start(simulation, "wk-000001/0", 2, "b")
 
     assert violations_after(scenario) == []
 
@@ -95,19 +95,19 @@
     ],
 )
 def test_machine_that_job_does_not_allow_is_reported(spec: dict[str, Any], spot: bool) -> None:
-    def scenario(world: World) -> None:
-        world.jobs["wk-000001"] = job("wk-000001", 1, **spec)
-        start(world, "wk-000001/0", 1, "a", spot)
+    def scenario(simulation: Simulation) -> None:
+        simulation.jobs["wk-000001"] = job("wk-000001", 1, **spec)
+        start(simulation, "wk-000001/0", 1, "a", spot)
 
     assert [text.partition(":")[0] for text in violations_after(scenario)] == ["wrong_place"]
 
 
 def test_unrecorded_and_second_start_are_reported() -> None:
-    def scenario(world: World) -> None:
-        world.jobs["wk-000001"] = job("wk-000001", 1)
-        start(world, "wk-000001/0", 1, "a")
-        world.checker.recorded_tasks.clear()
-        world.checker.record_start("wk-000001/0", machine_of(2, "a"), 0.0)
+    def scenario(simulation: Simulation) -> None:
+        simulation.jobs["wk-000001"] = job("wk-000001", 1)
+        start(simulation, "wk-000001/0", 1, "a")
+        simulation.checker.recorded_tasks.clear()
+        simulation.checker.record_start("wk-000001/0", machine_of(2, "a"), 0.0)
 
     assert [text.partition(":")[0] for text in violations_after(scenario)] == [
         "ran_twice",
@@ -119,27 +119,29 @@
     """After that they cannot go on, and the leader may start others in their place."""
 
     async def run() -> list[str]:
-        world = World()
-        world.jobs["wk-000001"] = job("wk-000001", 6)  # all that the team may use
-        world.jobs["wk-000002"] = job("wk-000002", 1)
+        simulation = Simulation()
+        simulation.jobs["wk-000001"] = job("wk-000001", 6)  # all that the team may use
+        simulation.jobs["wk-000002"] = job("wk-000002", 1)
         machine = machine_of(1, "a")
-        hanging = Worker(world, machine)
-        world.cloud.machines[machine.name] = RentedMachine(machine, 1e9, hanging)
+        hanging = Worker(simulation, machine)
+        simulation.cloud.machines[machine.name] = RentedMachine(machine, 1e9, hanging)
         hanging.main_task.cancel()  # it does nothing by itself any more
         hanging.up = hanging.frozen = True
         hanging.lease_renewed_at = asyncio.get_running_loop().time()
         for task in range(6):
             task_id = f"wk-000001/{task}"
             hanging.tasks[task_id] = TaskRun(1, protocol.TaskState.RUNNING, 0.0)
-            start(world, task_id, 1, "a")
-        await asyncio.sleep(world.workers.lease_s - 0.5)
-        start(world, "wk-000002/0", 2, "a")
-        assert [text.partition(":")[0] for text in world.checker.violations] == ["quota"]
-        world.checker.record_leave("wk-000002/0", "host-000002")
+            start(simulation, task_id, 1, "a")
+        await asyncio.sleep(simulation.workers.lease_s - 0.5)
+        start(simulation, "wk-000002/0", 2, "a")
+        assert [text.partition(":")[0] for text in simulation.checker.violations] == ["quota"]
+        simulation.checker.record_leave("wk-000002/0", "host-000002")
         await asyncio.sleep(1.0)
-        start(world, "wk-000002/0", 2, "a")
-        assert not any(world.checker.machines_by_task[f"wk-000001/{task}"] for task in range(6))
-        return world.checker.violations[1:]
+        start(simulation, "wk-000002/0", 2, "a")
+        assert not any(
+            simulation.checker.machines_by_task[f"wk-000001/{task}"] for task in range(6)
+        )
+        return simulation.checker.violations[1:]
 
     assert play(run()) == []
 
@@ -148,14 +150,14 @@
     """The users of a soak stop asking once they know the final state."""
 
     async def run() -> list[str]:
-        world = World()
+        simulation = Simulation()
         for job_id, state in (("wk-000001", "done"), ("wk-000002", "running")):
-            world.jobs[job_id] = job(job_id, 0)
-            world.checker.record_answer(job_id, 200, {"status": state})
-        world.checker.faults_ended_at = asyncio.get_running_loop().time()
+            simulation.jobs[job_id] = job(job_id, 0)
+            simulation.checker.record_answer(job_id, 200, {"status": state})
+        simulation.checker.faults_ended_at = asyncio.get_running_loop().time()
         await asyncio.sleep(80.0)
-        world.checker.check_answers(["wk-000002"])
-        return world.checker.violations
+        simulation.checker.check_answers(["wk-000002"])
+        return simulation.checker.violations
 
     (broken,) = play(run())
     assert broken.startswith("forgotten: no answer about wk-000002 for 80 s")
@@ -240,7 +242,7 @@
             for other in others:
                 other.close()
             server = await asyncio.start_server(lambda reader, writer: None, host, int(port))
-            with pytest.raises(OSError):
+            with pytest.raises(OSError, match="address already in use"):
                 await asyncio.start_server(lambda reader, writer: None, host, int(port))
             server.close()
 
@@ -318,17 +320,17 @@
 
 def test_a_forgotten_job_is_found() -> None:
     async def main() -> None:
-        world = World()
-        await world.submit(job("wk-000001", 2))
-        world.checker.faults_ended_at = now()
-        world.net.cut |= {frozenset(("user", n)) for n in NODES}
+        simulation = Simulation()
+        await simulation.submit(job("wk-000001", 2))
+        simulation.checker.faults_ended_at = now()
+        simulation.net.partitions |= {frozenset(("user", n)) for n in NODES}
         with pytest.raises(NoResponseError):
-            await world.ask("n0", "GET", "/v2/runs/wk-000001")
+            await simulation.ask("n0", "GET", "/v2/runs/wk-000001")
         await asyncio.sleep(60.0)
-        world.checker.check_answers()
-        assert not world.checker.violations
+        simulation.checker.check_answers()
+        assert not simulation.checker.violations
         await asyncio.sleep(20.0)
-        world.checker.check_answers()
-        assert any(text.startswith("forgotten") for text in world.checker.violations)
+        simulation.checker.check_answers()
+        assert any(text.startswith("forgotten") for text in simulation.checker.violations)
 
     play(main())
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -22,8 +22,8 @@
     pack_finished_tasks,
     pack_round_records,
 )
+from tests.simulation import Simulation, job
 from tests.virtual import play
-from tests.world import World, job
 
 ARRAY = ["red", "batch", 1, 4, 2.0, 0.0, 2.0, "img-1", 1.0, None, None, 4, 5.0, 0.0, 0.0, None]
 GOLDEN: dict[str, Any] = {
@@ -98,17 +98,17 @@
 
 def test_what_this_version_writes_is_read_by_the_one_in_production() -> None:
     async def main() -> None:
-        world = World()
-        world.failing_jobs.add("wk-000002")
-        world.spread_s = 6.0
+        simulation = Simulation()
+        simulation.failing_jobs.add("wk-000002")
+        simulation.spread_s = 6.0
         for n in range(4):
-            await world.submit(job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2]))
+            await simulation.submit(job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2]))
         await asyncio.sleep(25.0)
-        world.crash(await world.led())
+        simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(60.0)
-        for key, value in world.store.puts:
+        for key, value in simulation.state_service.puts:
             plain_read(key, value)
-        kinds = {key.split("/")[1] for key, _ in world.store.puts}
+        kinds = {key.split("/")[1] for key, _ in simulation.state_service.puts}
         assert kinds >= {"j", "f", "r", "d", "c", "x", "lead", "epoch", "catalog"}
 
     play(main())
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -56,8 +56,8 @@
     given,
     response_facts,
 )
+from tests.simulation import settings_of
 from tests.virtual import play
-from tests.world import settings_of
 
 NOW = 1_700_000_000.123456
 
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -23,8 +23,8 @@
     template,
     without_times,
 )
+from tests.simulation import Simulation, job
 from tests.virtual import play
-from tests.world import World, job
 
 
 async def until(at_s: float) -> None:
@@ -38,16 +38,16 @@
     """In the order of the file; a case on file as awaited is repeated until it comes so."""
 
     async def scenario() -> None:
-        world = World()
-        leader = await world.led()
+        simulation = Simulation()
+        leader = await simulation.wait_for_leader()
         await asyncio.sleep(3.0)
         for case in cases("users", "requests"):
             method, target, body, awaited = given("users", "requests", case)
             if method == "POST" and target == "/v2/runs" and isinstance(body, dict):
-                world.jobs.setdefault(str(body.get("name_id")), body)
+                simulation.jobs.setdefault(str(body.get("name_id")), body)
             data = b"" if body is None else orjson.dumps(body)
             for tries in range(200):
-                response = await world.nodes[leader].handle(method, target, data)
+                response = await simulation.nodes[leader].handle(method, target, data)
                 facts = response_facts(response)
                 try:
                     expect("users", "requests", case, facts)
@@ -56,7 +56,9 @@
                     if not awaited or tries == 199:
                         raise
                 await asyncio.sleep(0.3)
-        finals = [[key, value] for key, value in world.store.puts if key.startswith("pt/f/")]
+        finals = [
+            [key, value] for key, value in simulation.state_service.puts if key.startswith("pt/f/")
+        ]
         expect("stored_keys", "written", "final states", sorted(finals))
 
     play(scenario())
@@ -68,18 +70,18 @@
 @pytest.mark.parametrize("case", cases("workers", "answers to reports"))
 def test_answers_to_reports(case: str) -> None:
     async def scenario() -> None:
-        world = World()
-        leader = await world.led()
+        simulation = Simulation()
+        leader = await simulation.wait_for_leader()
         await asyncio.sleep(3.0)
         role, method, body = given("workers", "answers to reports", case)
-        asked = leader if role == "leader" else next(n for n in world.nodes if n != leader)
+        asked = leader if role == "leader" else next(n for n in simulation.nodes if n != leader)
         if role == "none leads":
-            for name in list(world.nodes):
+            for name in list(simulation.nodes):
                 if name != asked:
-                    world.crash(name)
-            world.net.cut |= {frozenset((asked, "state"))}
-            world.nodes[asked].election.on_key("lead", None, 10**6)
-        response = await world.nodes[asked].handle(method, "/checkin", orjson.dumps(body))
+                    simulation.crash(name)
+            simulation.net.partitions |= {frozenset((asked, "state"))}
+            simulation.nodes[asked].election.on_key("lead", None, 10**6)
+        response = await simulation.nodes[asked].handle(method, "/checkin", orjson.dumps(body))
         facts = response_facts(response)
         home = facts["body"].get("home")
         if home == leader:
@@ -94,9 +96,9 @@
 
 def test_rental_and_return_as_stored_and_sent() -> None:
     async def scenario() -> None:
-        world = World()
-        hosts = RecordedHosts(world)
-        node = world.nodes[await world.led()]
+        simulation = Simulation()
+        hosts = RecordedHosts(simulation)
+        node = simulation.nodes[await simulation.wait_for_leader()]
         await until(120.0)
         names = node.cluster_state.names
         kind, zone = names.machine_types.index("small"), names.zones.index("b")
@@ -106,9 +108,13 @@
         await node.provisioner.scale_in.execute_all([first], now)
         calls = [[e["method"], e["target"], e["body"]] for e in hosts.matching("POST", "/hosts.*")]
         expect("cloud", "sent", "rental and return", calls)
-        puts = [[key, value] for key, value in world.store.puts if key[:5] in ("pt/c/", "pt/x/")]
+        puts = [
+            [key, value]
+            for key, value in simulation.state_service.puts
+            if key[:5] in ("pt/c/", "pt/x/")
+        ]
         expect("stored_keys", "written", "rental and return", puts)
-        catalogs = [value for key, value in world.store.puts if key == "pt/catalog"]
+        catalogs = [value for key, value in simulation.state_service.puts if key == "pt/catalog"]
         expect("stored_keys", "written", "catalogue", catalogs)
 
     play(scenario())
@@ -116,10 +122,12 @@
 
 def test_the_stored_catalogue_is_read() -> None:
     async def scenario() -> None:
-        world = World()
-        world.cloud.down = True
-        world.store.put("pt/catalog", given("stored_keys", "catalogue read", "one type"))
-        node = world.nodes[await world.led()]
+        simulation = Simulation()
+        simulation.cloud.down = True
+        simulation.state_service.put(
+            "pt/catalog", given("stored_keys", "catalogue read", "one type")
+        )
+        node = simulation.nodes[await simulation.wait_for_leader()]
         await asyncio.sleep(3.0)
         catalog = protocol.Catalog(node.provisioner.catalog() or ())
         expect("stored_keys", "catalogue read", "one type", msgspec.to_builtins(catalog))
@@ -129,8 +137,8 @@
 
 def test_settings_of_operators() -> None:
     async def scenario() -> None:
-        world = World()
-        node = world.nodes[await world.led()]
+        simulation = Simulation()
+        node = simulation.nodes[await simulation.wait_for_leader()]
         await until(120.0)
         for case in cases("admin", "settings"):
             method, body = given("admin", "settings", case)
@@ -143,12 +151,12 @@
             expect("admin", "settings", case, facts)
             await asyncio.sleep(1.0)
             if case == "change":
-                assert [n.provisioning_options.spot_idle_s for n in world.nodes.values()] == [
+                assert [n.provisioning_options.spot_idle_s for n in simulation.nodes.values()] == [
                     7.0,
                     7.0,
                     7.0,
                 ]
-        puts = [value for key, value in world.store.puts if key == "pt/options"]
+        puts = [value for key, value in simulation.state_service.puts if key == "pt/options"]
         expect("stored_keys", "written", "options", puts)
 
     play(scenario())
@@ -159,17 +167,17 @@
 
 def test_administration_and_its_forwarding() -> None:
     async def scenario() -> None:
-        world = World()
-        hosts = RecordedHosts(world)
-        leader = await world.led()
-        follower = next(name for name in world.nodes if name != leader)
-        await world.submit(job("wk-000001", 2, crew="red"))
-        await world.submit(job("wk-000002", 2, crew="blue", shape="service", rank="prod"))
-        await world.submit(job("wk-000003", 9, crew="guest", shape="group", cores=3.0))
+        simulation = Simulation()
+        hosts = RecordedHosts(simulation)
+        leader = await simulation.wait_for_leader()
+        follower = next(name for name in simulation.nodes if name != leader)
+        await simulation.submit(job("wk-000001", 2, crew="red"))
+        await simulation.submit(job("wk-000002", 2, crew="blue", shape="service", rank="prod"))
+        await simulation.submit(job("wk-000003", 9, crew="guest", shape="group", cores=3.0))
         await until(125.0)
         for case in cases("admin", "answers"):
             asked, method, path = given("admin", "answers", case)
-            node = world.nodes[leader if asked == "leader" else follower]
+            node = simulation.nodes[leader if asked == "leader" else follower]
             facts = response_facts(await node.handle_peer(method, f"/admin/v1/{path}", b""))
             expect("admin", "answers", case, without_times(facts))
         forwarded = [
@@ -187,32 +195,37 @@
     found: dict[str, set[str]] = {}
     operations: set[str] = set()
 
-    async def look(world: World, *names: str) -> None:
+    async def look(simulation: Simulation, *names: str) -> None:
         for name in names:
             target = "/admin/v1/status?direct=1"
-            response = await world.nodes[name].handle_peer("GET", target, b"")
+            response = await simulation.nodes[name].handle_peer("GET", target, b"")
             status = orjson.loads(response.body)
             operations.update(re.sub(r"\d+", "#", op["operation"]) for op in status["operations"])
             structure(status, "", found)
 
     async def scenario() -> None:
-        world = World()
-        leader = await world.led()
+        simulation = Simulation()
+        leader = await simulation.wait_for_leader()
         lost = ("/hosts", "/do")
-        world.net.fate = lambda source, addr, method, target, body: (0.0, target in lost)
-        await world.submit(job("wk-000001", 6))
-        while not any(world.checker.machines_by_task.values()):
+        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
+            0.0,
+            target in lost,
+        )
+        await simulation.submit(job("wk-000001", 6))
+        while not any(simulation.checker.machines_by_task.values()):
             await asyncio.sleep(0.5)
-            await look(world, leader)
-        world.net.cut |= {frozenset((m, n)) for m in world.cloud.machines for n in world.nodes}
-        world.crash(leader)
+            await look(simulation, leader)
+        simulation.net.partitions |= {
+            frozenset((m, n)) for m in simulation.cloud.machines for n in simulation.nodes
+        }
+        simulation.crash(leader)
         await asyncio.sleep(1.0)
-        leader = await world.led()
-        follower = next(name for name in world.nodes if name != leader)
-        world.net.cut.add(frozenset((follower, "state")))
+        leader = await simulation.wait_for_leader()
+        follower = next(name for name in simulation.nodes if name != leader)
+        simulation.net.partitions.add(frozenset((follower, "state")))
         for _ in range(8):
             await asyncio.sleep(1.0)
-            await look(world, leader, follower)
+            await look(simulation, leader, follower)
         expect_structure("admin", "structure of a status in trouble", found)
         expect("admin", "operations shown", "of every kind", sorted(operations))
 
@@ -237,21 +250,21 @@
         structure(value, at, found.setdefault(file, {}))
 
     async def scenario() -> None:
-        world = World()
-        hosts = RecordedHosts(world)
-        world.failing_jobs.add("wk-000002")
-        world.spread_s = 6.0
+        simulation = Simulation()
+        hosts = RecordedHosts(simulation)
+        simulation.failing_jobs.add("wk-000002")
+        simulation.spread_s = 6.0
         for n in range(4):
-            await world.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], due_s=90.0))
-        await world.submit(job("wk-000009", 2, crew="guest", shape="service", rank="prod"))
-        running = await world.running(8)
-        await world.cancel(
+            await simulation.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], due_s=90.0))
+        await simulation.submit(job("wk-000009", 2, crew="guest", shape="service", rank="prod"))
+        running = await simulation.wait_until_running(8)
+        await simulation.cancel(
             next(task_id[:9] for task_id in running if not task_id.startswith("wk-000009"))
         )
         await asyncio.sleep(20.0)
-        world.crash(await world.led())
+        simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(70.0)
-        for key, value in world.store.puts:
+        for key, value in simulation.state_service.puts:
             note("stored_keys", template(key), value)
         for exchange in hosts.exchanges:
             partner = partner_of(exchange["to"])
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -21,7 +21,8 @@
 
 from petrelthread.leadership import Role
 from tests.scenario import run
-from tests.world import NODES, Fate, World, job
+from tests.simulated_network import DeliveryRule
+from tests.simulation import NODES, Simulation, job
 
 CANCELLED = "wk-000001"
 SETTLED_S = 6.0  # after the cancellation: two seconds of waiting for the answer, two reports, gaps
@@ -35,12 +36,15 @@
 class HeldStarts:
     """Holds direct commands that start a task of one job; their answers are lost."""
 
-    def __init__(self, world: World, delay_s: float) -> None:
+    def __init__(self, simulation: Simulation, delay_s: float) -> None:
         """``delay_s``: how long each command is on its way."""
         self.sent_at: list[float] = []
-        self.others: Fate = lambda *request: (0.0, False)  # what becomes of all other requests
+        self.others: DeliveryRule = lambda *request: (
+            0.0,
+            False,
+        )  # what becomes of all other requests
         self._delay_s = delay_s
-        world.net.fate = self._fate
+        simulation.net.delivery_rule = self._fate
 
     def _fate(
         self, source: str, address: str, method: str, target: str, body: Any
@@ -62,30 +66,30 @@
         return self.sent_at[-1] + self._delay_s
 
 
-async def cancel_elsewhere(world: World, leader: str) -> None:
+async def cancel_elsewhere(simulation: Simulation, leader: str) -> None:
     """Cancel the job through a controller that does not lead; wait for the confirmation."""
     while True:
         for node in NODES:
-            if node != leader and await world.try_to_cancel(CANCELLED, node) == "aborted":
+            if node != leader and await simulation.try_to_cancel(CANCELLED, node) == "aborted":
                 return
         await asyncio.sleep(0.1)
 
 
-async def keep_machines(world: World, until: float) -> None:
+async def keep_machines(simulation: Simulation, until: float) -> None:
     """Work goes on, so that machines are kept: when one is returned, the command is void."""
     number = 100
     while now() < until:
         number += 1
-        await world.submit(job(f"wk-{number:06d}", 4, team=("red", "blue")[number % 2]))
+        await simulation.submit(job(f"wk-{number:06d}", 4, team=("red", "blue")[number % 2]))
         await asyncio.sleep(4.0)
 
 
-def held_by(world: World) -> int:
+def held_by(simulation: Simulation) -> int:
     """How many starts of the cancelled job the leader still counts as possible."""
-    leader = world.leader
+    leader = simulation.leader
     if leader is None:
         return 0
-    found = world.nodes[leader].cluster_state.jobs_by_id.get(CANCELLED)
+    found = simulation.nodes[leader].cluster_state.jobs_by_id.get(CANCELLED)
     return 0 if found is None else len(found.live_attempts)
 
 
@@ -93,16 +97,16 @@
 def test_a_start_held_past_a_cancellation_is_refused_by_its_machine(seed: int) -> None:
     """As in the incident: the leader lives on, and its answers reach the machine."""
 
-    async def scenario(world: World) -> None:
-        held = HeldStarts(world, world.random.uniform(45.0, 300.0))
-        leader = await world.led()
-        await world.submit(job(CANCELLED, 2))
+    async def scenario(simulation: Simulation) -> None:
+        held = HeldStarts(simulation, simulation.random.uniform(45.0, 300.0))
+        leader = await simulation.wait_for_leader()
+        await simulation.submit(job(CANCELLED, 2))
         await held.sent()
-        await cancel_elsewhere(world, leader)
-        busy = asyncio.ensure_future(keep_machines(world, held.arrived_at + 5.0))
+        await cancel_elsewhere(simulation, leader)
+        busy = asyncio.ensure_future(keep_machines(simulation, held.arrived_at + 5.0))
         await asyncio.sleep(SETTLED_S)
-        assert world.leader == leader
-        assert not held_by(world)  # the room and the team's limit are free again
+        assert simulation.leader == leader
+        assert not held_by(simulation)  # the room and the team's limit are free again
         await busy
 
     run(scenario, seed)
@@ -111,77 +115,77 @@
 # ---- meetings with other troubles ----------------------------------------------------------------
 
 
-async def machines_stop_hearing(world: World, held: HeldStarts, leader: str) -> None:
+async def machines_stop_hearing(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """Their reports arrive, the answers don't reach them."""
-    world.net.not_receiving |= set(world.cloud.machines)
-    await asyncio.sleep(world.random.uniform(5.0, 40.0))
-    world.net.not_receiving.clear()
+    simulation.net.not_receiving |= set(simulation.cloud.machines)
+    await asyncio.sleep(simulation.random.uniform(5.0, 40.0))
+    simulation.net.not_receiving.clear()
 
 
-async def writes_are_lost(world: World, held: HeldStarts, leader: str) -> None:
+async def writes_are_lost(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """The leader reads and renews its lease, but cannot write, nor raise its token."""
 
     def lost(source: str, address: str, method: str, target: str, body: Any) -> Any:
         return None if source == leader and target == "/multi" else (0.0, False)
 
     held.others = lost
-    await asyncio.sleep(world.random.uniform(40.0, 80.0))
+    await asyncio.sleep(simulation.random.uniform(40.0, 80.0))
     held.others = lambda *request: (0.0, False)
 
 
-async def writes_are_unanswered(world: World, held: HeldStarts, leader: str) -> None:
+async def writes_are_unanswered(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """Half of all transactions are carried out without an answer, at once or up to 12 s later."""
 
     def unanswered(source: str, address: str, method: str, target: str, body: Any) -> Any:
-        if target != "/multi" or world.random.random() < 0.5:
+        if target != "/multi" or simulation.random.random() < 0.5:
             return 0.0, False
-        return world.random.choice((0.0, world.random.uniform(0.5, 12.0))), True
+        return simulation.random.choice((0.0, simulation.random.uniform(0.5, 12.0))), True
 
     held.others = unanswered
-    await asyncio.sleep(world.random.uniform(10.0, 60.0))
+    await asyncio.sleep(simulation.random.uniform(10.0, 60.0))
     held.others = lambda *request: (0.0, False)
 
 
-async def refused_then_outage(world: World, held: HeldStarts, leader: str) -> None:
+async def refused_then_outage(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """The state service refuses the leader alone, then is down for longer than ``cancel_s``."""
-    world.store.refused.add(leader)
-    await asyncio.sleep(world.random.uniform(0.5, 8.0))
-    world.store.set_outage(True)
-    world.store.refused.clear()
-    await asyncio.sleep(world.workers.cancel_s + world.random.uniform(5.0, 20.0))
-    world.store.set_outage(False)
+    simulation.state_service.refused.add(leader)
+    await asyncio.sleep(simulation.random.uniform(0.5, 8.0))
+    simulation.state_service.set_outage(True)
+    simulation.state_service.refused.clear()
+    await asyncio.sleep(simulation.workers.cancel_s + simulation.random.uniform(5.0, 20.0))
+    simulation.state_service.set_outage(False)
 
 
-async def leader_ends(world: World, held: HeldStarts, leader: str) -> None:
+async def leader_ends(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """It is back after a while."""
-    world.crash(leader)
-    await asyncio.sleep(world.random.uniform(2.0, 20.0))
-    world.boot(leader)
+    simulation.crash(leader)
+    await asyncio.sleep(simulation.random.uniform(2.0, 20.0))
+    simulation.boot(leader)
 
 
-async def leader_is_back_at_once(world: World, held: HeldStarts, leader: str) -> None:
+async def leader_is_back_at_once(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """It ends, and is back within a fraction of a second."""
-    world.crash(leader)
-    await asyncio.sleep(world.random.uniform(0.05, 0.9))
-    world.boot(leader)
+    simulation.crash(leader)
+    await asyncio.sleep(simulation.random.uniform(0.05, 0.9))
+    simulation.boot(leader)
 
 
-async def leader_is_paused(world: World, held: HeldStarts, leader: str) -> None:
+async def leader_is_paused(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """It stands still for less or more than its lease, and goes on."""
-    await world.stand_still(leader, world.random.choice((1.5, 4.0, 15.0, 45.0)))
+    await simulation.pause(leader, simulation.random.choice((1.5, 4.0, 15.0, 45.0)))
 
 
-async def leader_is_deposed(world: World, held: HeldStarts, leader: str) -> None:
+async def leader_is_deposed(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """It loses the state service and its siblings, but not its workers."""
     others = {"state", *NODES} - {leader}
-    world.net.cut |= {frozenset((leader, other)) for other in others}
-    await asyncio.sleep(world.random.uniform(4.0, 45.0))
-    world.net.cut.clear()
+    simulation.net.partitions |= {frozenset((leader, other)) for other in others}
+    await asyncio.sleep(simulation.random.uniform(4.0, 45.0))
+    simulation.net.partitions.clear()
 
 
-async def leader_resigns(world: World, held: HeldStarts, leader: str) -> None:
+async def leader_resigns(simulation: Simulation, held: HeldStarts, leader: str) -> None:
     """It gives the lead away, and may be elected again at once."""
-    await world.nodes[leader].election.resign("for the test", 0.0)
+    await simulation.nodes[leader].election.resign("for the test", 0.0)
 
 
 TROUBLES = [
@@ -202,17 +206,17 @@
 def test_a_late_start_meets_a_cancellation_and_another_trouble(trouble: Any, seed: int) -> None:
     """Delays from milliseconds to five minutes; the fault begins around the raise of the token."""
 
-    async def scenario(world: World) -> None:
-        delay_s = math.exp(world.random.uniform(math.log(0.005), math.log(300.0)))
-        held = HeldStarts(world, max(delay_s, world.random.choice((0.0, 45.0))))
-        leader = await world.led()
-        await world.submit(job(CANCELLED, 3))
+    async def scenario(simulation: Simulation) -> None:
+        delay_s = math.exp(simulation.random.uniform(math.log(0.005), math.log(300.0)))
+        held = HeldStarts(simulation, max(delay_s, simulation.random.choice((0.0, 45.0))))
+        leader = await simulation.wait_for_leader()
+        await simulation.submit(job(CANCELLED, 3))
         await held.sent()
-        await asyncio.sleep(world.random.uniform(0.0, 2.2))
-        await cancel_elsewhere(world, leader)
-        busy = asyncio.ensure_future(keep_machines(world, max(now(), held.arrived_at) + 5.0))
-        await asyncio.sleep(world.random.uniform(0.0, 4.0))
-        await trouble(world, held, leader)
+        await asyncio.sleep(simulation.random.uniform(0.0, 2.2))
+        await cancel_elsewhere(simulation, leader)
+        busy = asyncio.ensure_future(keep_machines(simulation, max(now(), held.arrived_at) + 5.0))
+        await asyncio.sleep(simulation.random.uniform(0.0, 4.0))
+        await trouble(simulation, held, leader)
         await busy
 
     run(scenario, seed)
@@ -222,21 +226,21 @@
 def test_a_machine_is_not_answered_while_the_token_cannot_be_raised(delay_s: float) -> None:
     """Renewals and reads go through, writes don't: the machine's lease has to end in time."""
 
-    async def scenario(world: World) -> None:
-        held = HeldStarts(world, delay_s)
-        leader = await world.led()
-        await world.submit(job(CANCELLED, 2))
+    async def scenario(simulation: Simulation) -> None:
+        held = HeldStarts(simulation, delay_s)
+        leader = await simulation.wait_for_leader()
+        await simulation.submit(job(CANCELLED, 2))
         await held.sent()
-        busy = asyncio.ensure_future(keep_machines(world, held.arrived_at + 5.0))
+        busy = asyncio.ensure_future(keep_machines(simulation, held.arrived_at + 5.0))
 
         def lost(source: str, address: str, method: str, target: str, body: Any) -> Any:
             return None if source == leader and target == "/multi" else (0.0, False)
 
         held.others = lost
-        await cancel_elsewhere(world, leader)
+        await cancel_elsewhere(simulation, leader)
         while now() < held.arrived_at:
             await asyncio.sleep(0.5)
-            election = world.nodes[leader].election
+            election = simulation.nodes[leader].election
             assert election.role is Role.LEADING
             assert election.fencing_token == election.epoch
         held.others = lambda *request: (0.0, False)
@@ -246,30 +250,34 @@
 
 
 def test_a_raised_token_is_written_before_it_is_shown_and_a_successor_is_above_it() -> None:
-    async def scenario(world: World) -> None:
-        await world.submit(job("wk-000002", 2))
-        await world.running(2)
-        leader = await world.led()
-        node = world.nodes[leader]
+    async def scenario(simulation: Simulation) -> None:
+        await simulation.submit(job("wk-000002", 2))
+        await simulation.wait_until_running(2)
+        leader = await simulation.wait_for_leader()
+        node = simulation.nodes[leader]
         for _ in range(3):
             before = node.election.fencing_token
             assert await node.election.raise_fencing_token()
-            stored = [value for key, value in world.store.puts if key == "pt/epoch"]
+            stored = [value for key, value in simulation.state_service.puts if key == "pt/epoch"]
             assert (
                 stored[-1] == node.election.fencing_token == node.fleet.fencing_token == before + 1
             )
             # In the form that older versions write and read, which take the value plus one.
-            (lead,) = [value for key, (value, _, _) in world.store.keys.items() if key == "pt/lead"]
+            (lead,) = [
+                value
+                for key, (value, _, _) in simulation.state_service.keys.items()
+                if key == "pt/lead"
+            ]
             assert lead.keys() == {"node", "nonce", "epoch", "lease"}
             assert lead["epoch"] == before + 1
         assert node.election.epoch == before - 2  # records are still named after the election
         await asyncio.sleep(3.0)
-        machines = [machine.worker for machine in world.cloud.machines.values()]
+        machines = [machine.worker for machine in simulation.cloud.machines.values()]
         assert {worker.fencing_token for worker in machines if worker.up} == {before + 1}
-        world.crash(leader)
-        new = world.nodes[await world.led()].election
+        simulation.crash(leader)
+        new = simulation.nodes[await simulation.wait_for_leader()].election
         assert new.epoch > before + 1
-        await world.until_over(60.0)
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
 
@@ -278,10 +286,10 @@
 def test_a_raise_without_an_answer_is_adopted_when_it_is_read(late_s: float) -> None:
     """Siblings may have read it before the leader has; that is no newer leader."""
 
-    async def scenario(world: World) -> None:
-        await world.submit(job("wk-000002", 2))
-        leader = await world.led()
-        election = world.nodes[leader].election
+    async def scenario(simulation: Simulation) -> None:
+        await simulation.submit(job("wk-000002", 2))
+        leader = await simulation.wait_for_leader()
+        election = simulation.nodes[leader].election
         lost = 0
 
         def fate(source: str, address: str, method: str, target: str, body: Any) -> Any:
@@ -292,16 +300,16 @@
                 return late_s, True
             return 0.0, False
 
-        world.net.fate = fate
+        simulation.net.delivery_rule = fate
         before = election.fencing_token
         assert await election.raise_fencing_token()
         assert lost
         assert election.fencing_token == before + 1
         await asyncio.sleep(late_s + 3.0)
         assert election.role is Role.LEADING
-        assert world.leader == leader
+        assert simulation.leader == leader
         assert election.fencing_token == before + 1
-        await world.until_over(60.0)
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
 
@@ -310,10 +318,10 @@
 def test_a_command_under_way_when_the_token_is_raised_is_sent_again(raised_after_s: float) -> None:
     """Its machine refuses it, which is an answer: nothing waits for it."""
 
-    async def scenario(world: World) -> None:
-        leader = await world.led()
-        node = world.nodes[leader]
-        world.run_s = 30.0
+    async def scenario(simulation: Simulation) -> None:
+        leader = await simulation.wait_for_leader()
+        node = simulation.nodes[leader]
+        simulation.run_s = 30.0
         refused = 0
 
         def fate(source: str, address: str, method: str, target: str, body: Any) -> Any:
@@ -324,21 +332,21 @@
                 return 1.5, False  # longer than it takes to raise the token and to report
             return 0.0, False
 
-        await world.submit(job("wk-000002", 4, estimated_run_s=30.0))
-        await world.running(4)
-        world.net.fate = fate
-        await world.submit(job("wk-000003", 2, estimated_run_s=30.0))
+        await simulation.submit(job("wk-000002", 4, estimated_run_s=30.0))
+        await simulation.wait_until_running(4)
+        simulation.net.delivery_rule = fate
+        await simulation.submit(job("wk-000003", 2, estimated_run_s=30.0))
         while not refused:
             await asyncio.sleep(0.01)
         await asyncio.sleep(raised_after_s)
         sent_at = now()
         assert await node.election.raise_fencing_token()
-        running = world.checker.machines_by_task
+        running = simulation.checker.machines_by_task
         while sum(task_id.startswith("wk-000003") for task_id, on in running.items() if on) < 2:
             await asyncio.sleep(0.1)
             assert now() < sent_at + 2.75  # 1.5 s on its way, 1 s to fetch the image
         assert not node.fleet.unacknowledged_starts.count()
-        await world.until_over(90.0)
+        await simulation.wait_until_over(90.0)
 
     run(scenario)
 
@@ -346,29 +354,29 @@
 def test_a_wave_of_unanswered_commands_raises_the_token_at_most_once_a_gap() -> None:
     """Machines hang one after the other for a minute, while jobs are cancelled all the time."""
 
-    async def scenario(world: World) -> None:
-        held = HeldStarts(world, 1000.0)
-        leader = await world.led()
-        node = world.nodes[leader]
+    async def scenario(simulation: Simulation) -> None:
+        held = HeldStarts(simulation, 1000.0)
+        leader = await simulation.wait_for_leader()
+        node = simulation.nodes[leader]
 
         def all_lost(source: str, address: str, method: str, target: str, body: Any) -> Any:
             return None if target == "/do" and body["orders"] else (0.0, False)
 
-        await world.submit(job("wk-000002", 1))
-        await world.running(1)
+        await simulation.submit(job("wk-000002", 1))
+        await simulation.wait_until_running(1)
         held.others = all_lost
         before, since = node.election.fencing_token, now()
         for n in range(200, 230):
-            await world.submit(job(f"wk-{n:06d}", 3, team=("red", "blue", "guest")[n % 3]))
-            await asyncio.sleep(world.random.uniform(0.2, 2.0))
-            await world.try_to_cancel(f"wk-{n:06d}", leader)
-            await asyncio.sleep(world.random.uniform(0.2, 2.0))
+            await simulation.submit(job(f"wk-{n:06d}", 3, team=("red", "blue", "guest")[n % 3]))
+            await asyncio.sleep(simulation.random.uniform(0.2, 2.0))
+            await simulation.try_to_cancel(f"wk-{n:06d}", leader)
+            await asyncio.sleep(simulation.random.uniform(0.2, 2.0))
         raises = node.election.fencing_token - before
         gap_s = node.fleet.unacknowledged_starts.raise_interval_s
-        assert world.leader == leader
+        assert simulation.leader == leader
         assert 2 <= raises <= (now() - since) / gap_s + 1
         held.others = lambda *request: (0.0, False)
-        await world.until_over(120.0)
+        await simulation.wait_until_over(120.0)
 
     run(scenario)
 
@@ -376,22 +384,22 @@
 def test_what_siblings_tell_of_an_own_raise_deposes_nobody() -> None:
     """The write's answer and the leader's own reading are lost; its siblings have read it."""
 
-    async def scenario(world: World) -> None:
-        await world.submit(job("wk-000002", 2))
-        leader = await world.led()
-        election = world.nodes[leader].election
+    async def scenario(simulation: Simulation) -> None:
+        await simulation.submit(job("wk-000002", 2))
+        leader = await simulation.wait_for_leader()
+        election = simulation.nodes[leader].election
         raised_at = now()
 
         def fate(source: str, address: str, method: str, target: str, body: Any) -> Any:
             blind = source == leader and now() < raised_at + 2.0
             return 0.0, blind and target.startswith(("/multi", "/watch"))
 
-        world.net.fate = fate
+        simulation.net.delivery_rule = fate
         before = election.fencing_token
         assert await election.raise_fencing_token()
         assert now() > raised_at + 1.5
         assert election.highest_known_epoch == election.fencing_token == before + 1
         assert election.role is Role.LEADING
-        await world.until_over(60.0)
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
--- a/tests/test_operator_views.py
+++ b/tests/test_operator_views.py
@@ -9,27 +9,27 @@
 from petrelthread.admin.alerts import AlertTracker
 from petrelthread.admin.api import DIRECT
 from tests.scenario import run
-from tests.world import World, job
+from tests.simulation import Simulation, job
 
 
 def test_a_node_refused_by_the_state_service_alone_says_so() -> None:
-    async def scenario(world: World) -> None:
-        world.run_s = 10.0
-        await world.submit(job("wk-000001", 12, estimated_run_s=10.0))
-        await world.running(4)
-        refused = next(name for name in world.nodes if name != world.leader)
-        world.store.refused.add(refused)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 10.0
+        await simulation.submit(job("wk-000001", 12, estimated_run_s=10.0))
+        await simulation.wait_until_running(4)
+        refused = next(name for name in simulation.nodes if name != simulation.leader)
+        simulation.state_service.refused.add(refused)
         await asyncio.sleep(6.0)
-        assert (await world.ask(refused, "GET", "/ready"))[0] == 503
-        _, got = await world.ask_admin(refused, f"status?{DIRECT}")
+        assert (await simulation.ask(refused, "GET", "/ready"))[0] == 503
+        _, got = await simulation.ask_admin(refused, f"status?{DIRECT}")
         assert any("state service" in t["trouble"] for t in got["troubles"]), got["troubles"]
-        assert (await world.ask(refused, "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
-        other = next(name for name in world.nodes if name != refused)
-        assert (await world.ask(other, "GET", "/v2/runs/wk-000001"))[0] == 200
-        world.store.refused.clear()
+        assert (await simulation.ask(refused, "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
+        other = next(name for name in simulation.nodes if name != refused)
+        assert (await simulation.ask(other, "GET", "/v2/runs/wk-000001"))[0] == 200
+        simulation.state_service.refused.clear()
         await asyncio.sleep(3.0)
-        assert (await world.ask(refused, "GET", "/ready"))[0] == 200
-        await world.until_over(60.0)
+        assert (await simulation.ask(refused, "GET", "/ready"))[0] == 200
+        await simulation.wait_until_over(60.0)
 
     run(scenario)
 
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -8,7 +8,7 @@
 
 from petrelthread.emulator.worker import Worker
 from tests.scenario import now, other_controllers, run
-from tests.world import NODES, World, job
+from tests.simulation import NODES, Simulation, job
 
 
 @pytest.mark.parametrize("change", ["crash", "alone"])
@@ -21,48 +21,50 @@
     Its tasks must not count as gone by the lease of the incarnation before.
     """
 
-    async def scenario(world: World) -> None:
-        world.run_s = 60.0
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 60.0
         for n in range(2):
-            await world.submit(job(f"wk-{n:06d}", 3, team="guest", cores=1.0, estimated_run_s=60.0))
-        await world.running(6)
+            await simulation.submit(
+                job(f"wk-{n:06d}", 3, team="guest", cores=1.0, estimated_run_s=60.0)
+            )
+        await simulation.wait_until_running(6)
         await asyncio.sleep(6.0)
-        names = set(world.cloud.machines)
-        workers = [m.worker for m in world.cloud.machines.values()]
-        world.net.not_sending |= names
+        names = set(simulation.cloud.machines)
+        workers = [m.worker for m in simulation.cloud.machines.values()]
+        simulation.net.not_sending |= names
         await asyncio.sleep(2.0)
-        leader = await world.led()
+        leader = await simulation.wait_for_leader()
         cuts = {
             frozenset((leader, other)) for other in ("state", "cloud", *other_controllers(leader))
         }
         if change == "crash":
-            world.crash(leader)
+            simulation.crash(leader)
         else:
-            world.net.cut |= cuts
+            simulation.net.partitions |= cuts
         while not any(worker.incarnation > 1 for worker in workers):
             await asyncio.sleep(0.1)
         await asyncio.sleep(after_s)
         for n in range(2, 5):
             spec = job(f"wk-{n:06d}", 2, team="guest", cores=1.0, estimated_run_s=60.0)
-            await world.submit(spec, nodes=other_controllers(leader))
+            await simulation.submit(spec, nodes=other_controllers(leader))
             await asyncio.sleep(1.0)
         for _ in range(40):
             await asyncio.sleep(0.5)
-            assert not world.checker.violations, world.checker.violations
+            assert not simulation.checker.violations, simulation.checker.violations
         if change == "crash":
-            world.boot(leader)
-        world.net.cut.clear()
-        world.net.not_sending.clear()
-        world.checker.faults_ended_at = now()
-        await world.until_over(200.0)
+            simulation.boot(leader)
+        simulation.net.partitions.clear()
+        simulation.net.not_sending.clear()
+        simulation.checker.faults_ended_at = now()
+        await simulation.wait_until_over(200.0)
 
     run(scenario)
 
 
-def starts_recorded(world: World, machine: str) -> int:
+def starts_recorded(simulation: Simulation, machine: str) -> int:
     return sum(
         len(tasks)
-        for key, value in world.store.puts
+        for key, value in simulation.state_service.puts
         if key.startswith("pt/r/")
         for name, _, jobs in value
         if name == machine
@@ -73,39 +75,39 @@
 def test_a_machine_that_receives_nothing_gets_no_work_and_is_returned() -> None:
     """It looked alive and idle again after each end of its lease, and drew task after task."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 8.0
-        await world.submit(job("wk-000001", 30, estimated_run_s=30.0))
-        await world.running(6)
-        unreachable = next(iter(world.cloud.machines))
-        worker: Worker = world.cloud.machines[unreachable].worker
-        world.net.not_receiving.add(unreachable)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 8.0
+        await simulation.submit(job("wk-000001", 30, estimated_run_s=30.0))
+        await simulation.wait_until_running(6)
+        unreachable = next(iter(simulation.cloud.machines))
+        worker: Worker = simulation.cloud.machines[unreachable].worker
+        simulation.net.not_receiving.add(unreachable)
         await asyncio.sleep(13.0)  # its lease has ended, and it has shown that
-        drawn = starts_recorded(world, unreachable)
+        drawn = starts_recorded(simulation, unreachable)
         while not worker.dead:
             await asyncio.sleep(0.5)
             assert now() < 160.0, "it never went back"
-        assert starts_recorded(world, unreachable) <= drawn + 2
-        await world.until_over(150.0)
+        assert starts_recorded(simulation, unreachable) <= drawn + 2
+        await simulation.wait_until_over(150.0)
 
     run(scenario)
 
 
 def test_a_machine_that_receives_again_is_used_again() -> None:
-    async def scenario(world: World) -> None:
-        world.run_s = 4.0
-        await world.submit(job("wk-000001", 60, estimated_run_s=30.0))
-        await world.running(6)
-        unreachable = next(iter(world.cloud.machines))
-        worker: Worker = world.cloud.machines[unreachable].worker
-        world.net.not_receiving.add(unreachable)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 4.0
+        await simulation.submit(job("wk-000001", 60, estimated_run_s=30.0))
+        await simulation.wait_until_running(6)
+        unreachable = next(iter(simulation.cloud.machines))
+        worker: Worker = simulation.cloud.machines[unreachable].worker
+        simulation.net.not_receiving.add(unreachable)
         await asyncio.sleep(5.0)
-        world.net.not_receiving.clear()
-        before = starts_recorded(world, unreachable)
+        simulation.net.not_receiving.clear()
+        before = starts_recorded(simulation, unreachable)
         await asyncio.sleep(25.0)
         assert not worker.dead
-        assert starts_recorded(world, unreachable) > before + 4
-        await world.until_over(200.0)
+        assert starts_recorded(simulation, unreachable) > before + 4
+        await simulation.wait_until_over(200.0)
 
     run(scenario)
 
@@ -113,17 +115,17 @@
 def test_a_new_leader_returns_a_machine_that_receives_nothing() -> None:
     """Its highest token stays behind: it must not count as heard by the new leader."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 30.0
-        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        task_ids = await world.running(6)
-        worker = world.where(task_ids[0])
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 30.0
+        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        task_ids = await simulation.wait_until_running(6)
+        worker = simulation.worker_running(task_ids[0])
         await asyncio.sleep(3.0)
-        world.net.not_receiving.add(worker.name)
-        world.crash(await world.led())
+        simulation.net.not_receiving.add(worker.name)
+        simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(30.0)
         assert worker.dead
-        await world.until_over(150.0)
+        await simulation.wait_until_over(150.0)
 
     run(scenario)
 
@@ -131,27 +133,27 @@
 def test_an_unresponsive_machine_holds_up_only_its_own_tasks() -> None:
     """Its tasks start elsewhere only after a confirmed return or the end of its lease."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 12.0
-        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        task_ids = await world.running(6)
-        lost = world.where(task_ids[0])
-        world.net.cut |= {frozenset((lost.name, n)) for n in NODES}
-        await world.submit(job("wk-000002", 2, team="blue"))
-        await world.until_over(120.0)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 12.0
+        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        task_ids = await simulation.wait_until_running(6)
+        lost = simulation.worker_running(task_ids[0])
+        simulation.net.partitions |= {frozenset((lost.name, n)) for n in NODES}
+        await simulation.submit(job("wk-000002", 2, team="blue"))
+        await simulation.wait_until_over(120.0)
 
     run(scenario)
 
 
 def test_a_hanging_machine_resumes() -> None:
-    async def scenario(world: World) -> None:
-        world.run_s = 12.0
-        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        task_ids = await world.running(6)
-        worker = world.where(task_ids[0])
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 12.0
+        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        task_ids = await simulation.wait_until_running(6)
+        worker = simulation.worker_running(task_ids[0])
         worker.frozen = True
         await asyncio.sleep(5.0)
         worker.frozen = False
-        await world.until_over(120.0)
+        await simulation.wait_until_over(120.0)
 
     run(scenario)
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -7,38 +7,38 @@
 import pytest
 
 from tests.scenario import run
-from tests.world import World, job
+from tests.simulation import Simulation, job
 
 
 @pytest.mark.parametrize("for_s", [2.5, 6.0, 13.0, 35.0])
 def test_a_leader_is_paused_and_resumes(for_s: float) -> None:
     """For less and more than its lease and the workers'. It shows what others were told."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 20.0
-        await world.submit(job("wk-000001", 12, estimated_run_s=20.0))
-        await world.submit(job("wk-000002", 12, team="blue", estimated_run_s=20.0))
-        await world.running(8)
-        rented = world.cloud.rented
-        old = await world.led()
-        still = asyncio.ensure_future(world.stand_still(old, for_s))
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 20.0
+        await simulation.submit(job("wk-000001", 12, estimated_run_s=20.0))
+        await simulation.submit(job("wk-000002", 12, team="blue", estimated_run_s=20.0))
+        await simulation.wait_until_running(8)
+        rented = simulation.cloud.rented
+        old = await simulation.wait_for_leader()
+        still = asyncio.ensure_future(simulation.pause(old, for_s))
         await asyncio.sleep(for_s / 2)
         if for_s > 10.0:
-            assert world.leader not in (None, old)
-            await world.cancel("wk-000002")
+            assert simulation.leader not in (None, old)
+            await simulation.cancel("wk-000002")
         await still
-        node = world.nodes[old]
+        node = simulation.nodes[old]
         await asyncio.sleep(0.1)
         assert node.pause_detector.last_pause_s >= for_s - 1.0
         assert not node.election.is_leader or for_s < 3.0
-        status, got = await world.ask_admin(old, "status")
+        status, got = await simulation.ask_admin(old, "status")
         assert status == 200
-        assert got["leader"] == world.leader or world.leader is None
+        assert got["leader"] == simulation.leader or simulation.leader is None
         if for_s > 10.0:
-            _, told = await world.ask_admin(old, "jobs/wk-000002")
+            _, told = await simulation.ask_admin(old, "jobs/wk-000002")
             assert told["status"] == "aborted"
-        await world.until_over(200.0)
-        assert world.cloud.rented <= rented + 6  # the machines were not thrown away
+        await simulation.wait_until_over(200.0)
+        assert simulation.cloud.rented <= rented + 6  # the machines were not thrown away
 
     run(scenario)
 
@@ -46,16 +46,19 @@
 def test_a_leader_that_still_leads_when_it_resumes_returns_no_machine() -> None:
     """An outage gives its lease the full time again, and no machine was heard meanwhile."""
 
-    async def scenario(world: World) -> None:
-        world.run_s = 60.0
-        await world.submit(job("wk-000001", 6, estimated_run_s=60.0))
-        machines = {world.where(task_id).name for task_id in await world.running(6)}
-        old = await world.led()
-        world.store.set_outage(True)
-        await world.stand_still(old, 14.0)
-        world.store.set_outage(False)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.run_s = 60.0
+        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        machines = {
+            simulation.worker_running(task_id).name
+            for task_id in await simulation.wait_until_running(6)
+        }
+        old = await simulation.wait_for_leader()
+        simulation.state_service.set_outage(True)
+        await simulation.pause(old, 14.0)
+        simulation.state_service.set_outage(False)
         await asyncio.sleep(8.0)
-        assert machines <= set(world.cloud.machines)
-        await world.until_over(200.0)
+        assert machines <= set(simulation.cloud.machines)
+        await simulation.wait_until_over(200.0)
 
     run(scenario)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -12,10 +12,10 @@
 
 # Which process code runs in, as far as that one may stand still.
 PROCESS: contextvars.ContextVar[str] = contextvars.ContextVar("process", default="")
-Held = tuple[list[asyncio.Handle], Callable[..., Any], tuple[Any, ...], contextvars.Context]
+HeldCallback = tuple[list[asyncio.Handle], Callable[..., Any], tuple[Any, ...], contextvars.Context]
 
-MOST_S = 1000.0
-WALL = 1_700_000_000.0
+MAX_DURATION_S = 1000.0
+WALL_CLOCK_START_S = 1_700_000_000.0
 
 
 class _Selector(selectors.DefaultSelector):
@@ -27,7 +27,7 @@
             if timeout is None:
                 raise RuntimeError("everything waits for something that will never come")
             self.loop.now += max(timeout, 0.0)
-            if self.loop.now > MOST_S:
+            if self.loop.now > MAX_DURATION_S:
                 raise RuntimeError("the scenario does not end")
         return events
 
@@ -37,8 +37,8 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.still: set[str] = set()  # processes that stand still while clocks run on
-        self.held: dict[str, list[Held]] = {}
+        self.paused: set[str] = set()  # processes that stand still while clocks run on
+        self.held: dict[str, list[HeldCallback]] = {}
         selector = _Selector()
         selector.loop = self
         super().__init__(selector)
@@ -46,6 +46,10 @@
     def time(self) -> float:
         return self.now
 
+    def wall_clock(self) -> float:
+        """What `time.time` returns inside a scenario."""
+        return WALL_CLOCK_START_S + self.now
+
     # What a process that stands still would have run waits, in order, until it goes on.
 
     def call_soon(  # type: ignore[override]
@@ -75,15 +79,15 @@
             return callback
 
         def run(*args: Any) -> None:
-            if process in self.still:
+            if process in self.paused:
                 self.held.setdefault(process, []).append((box, callback, args, context))
             else:
                 callback(*args)
 
         return run
 
-    def go_on(self, process: str) -> None:
-        self.still.discard(process)
+    def resume(self, process: str) -> None:
+        self.paused.discard(process)
         for box, callback, args, context in self.held.pop(process, []):
             if box and not box[0].cancelled():
                 super().call_soon(self._resumed(box, callback), *args, context=context)
@@ -102,7 +106,7 @@
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
-        with mock.patch.object(time, "time", lambda: WALL + loop.now):
+        with mock.patch.object(time, "time", loop.wall_clock):
             return loop.run_until_complete(main)
     finally:
         for task in asyncio.all_tasks(loop):
