--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -112,7 +112,7 @@
 
 def _over_team_limit(parts: ControllerParts, job: Job, _now: float) -> str:
     team = parts.view.teams[job.team]
-    used_cores = parts.view.team_usage()[job.team][0]
+    used_cores = parts.view.team_usage()[job.team].cores
     if used_cores + job.cores <= team.most_cores + EPSILON:
         return ""
     return f"team {team.name} uses {used_cores:g} of its limit of {team.cpus_max:g} cores."
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -173,11 +173,11 @@
     return [
         {
             "team": team.name,
-            "cores": used_cores,
+            "cores": usage.cores,
             "guaranteed": team.cpus,
             "limit": team.cpus_max or None,
         }
-        for team, (used_cores, _) in zip(parts.view.teams, parts.view.team_usage(), strict=False)
+        for team, usage in zip(parts.view.teams, parts.view.team_usage(), strict=False)
     ]
 
 
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -145,7 +145,7 @@
             self.settings.host_name, self.election, self.fleet, self.command_planner
         )
         command_slots = asyncio.Semaphore(commands_at_once)
-        self.dispatch = CommandDispatcher(
+        self.command_dispatcher = CommandDispatcher(
             self.fleet, commands, command_slots, lambda: self.election.may_start_tasks
         )
         self.worker_status_reader = WorkerStatusReader(
@@ -166,7 +166,7 @@
             self.cluster_state,
             self.fleet,
             self.claims,
-            self.dispatch,
+            self.command_dispatcher,
             self.view,
             self.watch_cache.refresh,
             lambda now: self.state.write_bucket.available(now, CLEAN_UP_RESERVE),
--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -14,14 +14,14 @@
 from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
 from petrelthread.fleet.unacknowledged_starts import StartKey, key_of
-from petrelthread.state import TASK_FINISHED, Attempt, Job, epoch_of
+from petrelthread.state import TASK_FINISHED, Attempt, Job, TaskKey, epoch_of
 
 
 class ListedTasks(NamedTuple):
     """The result of comparing the tasks that a worker lists with the attempts on record."""
 
     commands: list[protocol.Command]
-    recorded: set[tuple[int, int]]  # job and task indices of those that have an attempt on record
+    recorded: set[TaskKey]  # tasks that have an attempt on record
 
 
 class CommandPlanner:
@@ -74,7 +74,7 @@
     ) -> ListedTasks:
         """Stop or forget listed tasks that are not wanted, or not any more."""
         commands: list[protocol.Command] = []
-        recorded: set[tuple[int, int]] = set()
+        recorded: set[TaskKey] = set()
         attempts = self._fleet.attempts_on(machine)
         for task_report in heartbeat.tasks:
             job_id, task = task_report.job_and_index
@@ -125,7 +125,7 @@
         self,
         machine: Machine,
         heartbeat: protocol.WorkerHeartbeat,
-        recorded: set[tuple[int, int]],
+        recorded: set[TaskKey],
         now: float,
     ) -> list[protocol.Command]:
         """Start what the worker does not list yet, and supersede unlisted starts not wanted."""
--- a/petrelthread/fleet/machine_registry.py
+++ b/petrelthread/fleet/machine_registry.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 
 from petrelthread.fleet.machine import Health, Machine
-from petrelthread.state import Attempt, ClusterState, OperationState, transition
+from petrelthread.state import Attempt, ClusterState, OperationState, TaskKey, transition
 
 NO_EPOCH = -1  # the epoch of a controller that does not lead
 
@@ -35,7 +35,7 @@
         index = self.cluster_state.names.machines.find(name)
         return None if index is None else self.machines.get(index)
 
-    def attempts_on(self, machine: Machine) -> dict[tuple[int, int], Attempt]:
+    def attempts_on(self, machine: Machine) -> dict[TaskKey, Attempt]:
         """Return the attempts recorded for the machine, by indices of job and task."""
         return self.cluster_state.attempts_by_machine.get(machine.index, {})
 
--- a/petrelthread/fleet/task_reconciler.py
+++ b/petrelthread/fleet/task_reconciler.py
@@ -11,7 +11,15 @@
 from petrelthread.fleet.machine import Machine
 from petrelthread.fleet.machine_registry import MachineRegistry
 from petrelthread.fleet.unacknowledged_starts import StartKey, UnacknowledgedStarts, key_of
-from petrelthread.state import TASK_PENDING, Attempt, Job, OperationState, epoch_of, transition
+from petrelthread.state import (
+    TASK_PENDING,
+    Attempt,
+    Job,
+    OperationState,
+    TaskKey,
+    epoch_of,
+    transition,
+)
 
 log = logging.getLogger(__name__)
 
@@ -61,9 +69,9 @@
 
     def _reconcile_all_listed(
         self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float
-    ) -> set[tuple[int, int]]:
+    ) -> set[TaskKey]:
         """Reconcile each listed task. Returns those that have an attempt on record here."""
-        listed: set[tuple[int, int]] = set()
+        listed: set[TaskKey] = set()
         has_unacknowledged = self._unacknowledged_starts.has_any_on(machine.index)
         for task_report in heartbeat.tasks:
             job_id, task = task_report.job_and_index
--- a/petrelthread/scheduling/claim_applier.py
+++ b/petrelthread/scheduling/claim_applier.py
@@ -18,6 +18,7 @@
     FinishedTasksRecord,
     Job,
     OperationState,
+    TaskKey,
 )
 
 log = logging.getLogger(__name__)
@@ -30,7 +31,7 @@
         self,
         cluster_state: ClusterState,
         fleet: Fleet,
-        dispatch: CommandDispatcher,
+        dispatcher: CommandDispatcher,
         view: ClusterView,
         validator: StartValidator,
         obsolete_keys: list[str],
@@ -38,7 +39,7 @@
         """``obsolete_keys``: keys to be deleted; those that a claim deleted are removed."""
         self._cluster_state = cluster_state
         self._fleet = fleet
-        self._dispatch = dispatch
+        self._dispatcher = dispatcher
         self._view = view
         self._validator = validator
         self._obsolete_keys = obsolete_keys
@@ -60,7 +61,7 @@
         stopped = [attempt for attempt in claim.stops if attempt.stop_requested_at]
         for attempt in stopped:
             attempt.stop_requested_at = now
-        self._dispatch.send(launched, stopped)
+        self._dispatcher.send(launched, stopped)
 
     def _apply_starts(self, claim: RoundClaim) -> list[Attempt]:
         """The attempts to be sent."""
@@ -75,7 +76,7 @@
             self._start_log.write(attempt)
         return launched
 
-    def _no_longer_allowed(self, claim: RoundClaim) -> set[tuple[int, int]]:
+    def _no_longer_allowed(self, claim: RoundClaim) -> set[TaskKey]:
         """Job index and task of starts that events during the claim forbid.
 
         A heartbeat may have shown the task elsewhere, or the machine may have been lost. Such a
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -43,7 +43,7 @@
         cluster_state: ClusterState,
         fleet: Fleet,
         claims: ClaimWriter,
-        dispatch: CommandDispatcher,
+        dispatcher: CommandDispatcher,
         view: ClusterView,
         refresh: Callable[[], Awaitable[bool]],
         spare_writes: Callable[[float], int],
@@ -55,7 +55,7 @@
             cluster_state: jobs, attempts and records.
             fleet: machines and what their workers reported.
             claims: writes claims.
-            dispatch: sends commands to workers.
+            dispatcher: sends commands to workers.
             view: capacity and job order.
             refresh: brings the cluster state up to date from the state service; False if it can't
                 be reached.
@@ -82,7 +82,7 @@
             self.obsolete_keys,
         )
         self._applier = ClaimApplier(
-            cluster_state, fleet, dispatch, view, validator, self.obsolete_keys
+            cluster_state, fleet, dispatcher, view, validator, self.obsolete_keys
         )
         self.round_interval_s = DEFAULT_ROUND_INTERVAL_S
         self.round_budget_s = DEFAULT_ROUND_BUDGET_S
--- a/petrelthread/scheduling/start_validator.py
+++ b/petrelthread/scheduling/start_validator.py
@@ -18,7 +18,7 @@
 from petrelthread.scheduling.occupancy import UNKNOWN_ZONE, JobOccupancy, spread_limit
 from petrelthread.scheduling.tolerance import CAPACITY_TOLERANCE
 from petrelthread.settings import Team
-from petrelthread.state import TASK_PENDING, ClusterState, Job
+from petrelthread.state import TASK_PENDING, ClusterState, Job, TaskKey
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
 class _AdmittedUsage:
     """What the starts admitted so far add to the live attempts."""
 
-    tasks: set[tuple[int, int]] = field(default_factory=set)  # job index and task
+    tasks: set[TaskKey] = field(default_factory=set)
     occupancy: dict[int, JobOccupancy] = field(default_factory=dict)  # by job index
     cores: dict[int, float] = field(default_factory=dict)  # by team index
     accelerators: dict[int, float] = field(default_factory=dict)  # by team index
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -50,7 +50,7 @@
 
 def launched(cluster: Cluster) -> list[tuple[int, str]]:
     name = cluster.names.machines.name
-    return sorted((a.task, name(a.machine)) for a in cluster.dispatch.launched)
+    return sorted((a.task, name(a.machine)) for a in cluster.dispatcher.launched)
 
 
 @cluster_test
@@ -97,7 +97,7 @@
     cluster.claims.meanwhile = meanwhile
     await cluster.scheduler.run_round(now())
     assert {machine for _, machine in launched(cluster)} == {"host-000002"}
-    assert all(a.job.id == JOB for a in cluster.dispatch.launched)
+    assert all(a.job.id == JOB for a in cluster.dispatcher.launched)
     assert lost.index not in cluster.cluster_state.attempts_by_machine
 
 
--- a/petrelthread/state/__init__.py
+++ b/petrelthread/state/__init__.py
@@ -2,7 +2,7 @@
 
 from petrelthread.interner import InternedNames
 from petrelthread.state.cluster_state import ClusterState
-from petrelthread.state.job import TASK_FINISHED, TASK_LIVE, TASK_PENDING, Attempt, Job
+from petrelthread.state.job import TASK_FINISHED, TASK_LIVE, TASK_PENDING, Attempt, Job, TaskKey
 from petrelthread.state.operation_state import IllegalTransitionError, OperationState, transition
 from petrelthread.state.record_numbers import RECORDS_PER_EPOCH, epoch_base_number, epoch_of
 from petrelthread.state.record_packing import Placement, pack_finished_tasks, pack_round_records
@@ -46,6 +46,7 @@
     "RoundRecord",
     "ScaleOutRecord",
     "StoredOptions",
+    "TaskKey",
     "TasksOfJob",
     "decode_job",
     "decode_leader",
--- a/petrelthread/state/attempt_table.py
+++ b/petrelthread/state/attempt_table.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from petrelthread import protocol
-from petrelthread.state.job import TASK_LIVE, TASK_PENDING, Attempt, Job
+from petrelthread.state.job import TASK_LIVE, TASK_PENDING, Attempt, Job, TaskKey
 from petrelthread.state.operation_state import OperationState, transition
 from petrelthread.state.usage import UsageTracker
 
@@ -12,15 +12,15 @@
     """Keeps attempts, the states of their tasks, and the usage of resources consistent.
 
     Attributes:
-        attempts_by_machine: attempts that may be running, by machine, and by index of the job and
-            task; machines without attempts are absent.
+        attempts_by_machine: attempts that may be running, by machine and by task; machines
+            without attempts are absent.
         attempts_by_round: attempts that may be running, by number of the round's record, for all
             records that exist.
         usage: resources of the attempts that may be running.
     """
 
     def __init__(self) -> None:
-        self.attempts_by_machine: dict[int, dict[tuple[int, int], Attempt]] = {}
+        self.attempts_by_machine: dict[int, dict[TaskKey, Attempt]] = {}
         self.attempts_by_round: dict[int, set[Attempt]] = {}
         self.usage = UsageTracker()
 
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -13,7 +13,7 @@
 from petrelthread.interner import InternedNames
 from petrelthread.state import stored_records
 from petrelthread.state.attempt_table import AttemptTable
-from petrelthread.state.job import STOP_TIME_UNKNOWN, TASK_FINISHED, Attempt, Job
+from petrelthread.state.job import STOP_TIME_UNKNOWN, TASK_FINISHED, Attempt, Job, TaskKey
 from petrelthread.state.operation_state import OperationState
 from petrelthread.state.stored_records import (
     STOP_MARKER,
@@ -171,7 +171,7 @@
         number: int,
         record: RoundRecord,
         state: OperationState = OperationState.UNKNOWN,
-        unsent: Collection[tuple[int, int]] = (),
+        unsent: Collection[TaskKey] = (),
     ) -> list[Attempt]:
         """Add the attempts of a round's record and note its stops.
 
@@ -196,7 +196,7 @@
         number: int,
         record: RoundRecord,
         state: OperationState,
-        unsent: Collection[tuple[int, int]],
+        unsent: Collection[TaskKey],
     ) -> list[Attempt]:
         added = []
         for entry in record:
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -15,6 +15,8 @@
 TASK_LIVE = 1  # has an attempt that may be running
 TASK_FINISHED = 2
 
+TaskKey = tuple[int, int]  # index of the job, number of the task
+
 STOP_TIME_UNKNOWN = 1.0  # seconds; long before the start of any controller's event loop clock
 
 
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -50,7 +50,7 @@
         return ClaimOutcome.COMMITTED, ()
 
 
-class RecordingDispatch:
+class RecordingDispatcher:
     """Keeps what would be sent."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
 
     def __init__(self) -> None:
         self.claims = ScriptedClaims()
-        self.dispatch = RecordingDispatch()
+        self.dispatcher = RecordingDispatcher()
         text = SETTINGS.format(name="n0", siblings="").replace('["a", "b"]', '["a", "b", "c"]')
         self.settings: Settings = parse(text)
         self.names = InternedNames([team.name for team in self.settings.cluster.teams], ZONES)
@@ -88,7 +88,7 @@
             self.cluster_state,
             self.fleet,
             cast(ClaimWriter, self.claims),
-            cast(CommandDispatcher, self.dispatch),
+            cast(CommandDispatcher, self.dispatcher),
             view,
             refresh,
             lambda now: 0,
