--- a/tests/golden_data.py
+++ b/tests/golden_data.py
@@ -15,6 +15,7 @@
 
 from petrelthread.emulator.environment import RequestHandler
 from petrelthread.http import ClientResponse, Response
+from petrelthread.store import StateClient, TokenBucket
 from tests.simulation import Simulation
 
 DIRECTORY = Path(__file__).parent / "golden"
@@ -128,3 +129,7 @@
     assert sorted(found) == sorted(on_file)
     beyond = {at: sorted(kinds - set(on_file[at])) for at, kinds in found.items()}
     assert not {at: kinds for at, kinds in beyond.items() if kinds}
+
+
+def state_client(requester: Requester) -> StateClient:
+    return StateClient(requester.request, "state:1", TokenBucket(1e6, 1e6), TokenBucket(1e6, 1e6))
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -1,4 +1,4 @@
-"""Every message and stored value, encoded and decoded, byte for byte as on file."""
+"""Every message, encoded and decoded, byte for byte as on file."""
 
 from __future__ import annotations
 
@@ -16,7 +16,6 @@
 from petrelthread import protocol
 from petrelthread.cli import main
 from petrelthread.controller import Controller
-from petrelthread.leadership import Election, Role
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.provisioning import (
     CloudClient,
@@ -24,19 +23,6 @@
     CloudUnavailableError,
     NoCapacityError,
 )
-from petrelthread.state import (
-    Attempt,
-    ClusterState,
-    InternedNames,
-    Job,
-    JobRecord,
-    Placement,
-    decode_job,
-    encode,
-    epoch_of,
-    pack_finished_tasks,
-    pack_round_records,
-)
 from petrelthread.store import (
     LeaseExpiredError,
     StateClient,
@@ -55,138 +41,11 @@
     expect,
     given,
     response_facts,
+    state_client,
 )
 from tests.simulation import settings_of
 from tests.virtual import play
 
-NOW = 1_700_000_000.123456
-
-
-def state_client(requester: Requester) -> StateClient:
-    return StateClient(requester.request, "state:1", TokenBucket(1e6, 1e6), TokenBucket(1e6, 1e6))
-
-
-# ---- stored keys -------------------------------------------------------------------------------
-
-
-@pytest.mark.parametrize("case", cases("stored_keys", "submissions"))
-def test_description_as_stored(case: str) -> None:
-    spec = protocol.parse_job(orjson.dumps(given("stored_keys", "submissions", case)))
-    record = JobRecord.from_spec(spec, NOW)
-    stored = encode(record)
-    expect("stored_keys", "submissions", case, stored)
-    assert decode_job(stored) == record
-    names = InternedNames()
-    job = Job(0, spec.job_id, decode_job(stored), names)
-    types = (
-        None
-        if job.machine_types is None
-        else sorted(names.machine_types.name(at) for at in job.machine_types)
-    )
-    zone = None if job.zone is None else names.zones.name(job.zone)
-    strings = [names.teams.name(job.team), names.job_classes.name(job.job_class), types, zone]
-    flags = [job.single_zone, job.spread_zones, job.spot_allowed, job.is_gang, job.is_service]
-    amounts = [
-        job.cores,
-        job.accelerators,
-        job.ram_gb,
-        job.image_size_gb,
-        job.accepted_at,
-        job.deadline_s,
-    ]
-    times = [job.estimated_run_s, job.checkpoint_interval_s, job.grace_period_s]
-    facts = [
-        *strings,
-        job.priority,
-        job.task_count,
-        names.images.name(job.image),
-        *flags,
-        *amounts,
-        *times,
-    ]
-    expect("stored_keys", "descriptions read", case, facts)
-
-
-def attempt_facts(cluster_state: ClusterState, attempt: Attempt) -> list[Any]:
-    machine = cluster_state.names.machines.name(attempt.machine)
-    epoch = epoch_of(attempt.number)
-    return [
-        attempt.task,
-        attempt.number,
-        epoch,
-        machine,
-        attempt.incarnation,
-        attempt.stop_requested_at > 0,
-    ]
-
-
-@pytest.mark.parametrize("case", cases("stored_keys", "keys read"))
-def test_stored_keys_are_read(case: str) -> None:
-    cluster_state = ClusterState(InternedNames(["red"], ["a", "b"]))
-    for stamp, (key, value) in enumerate(given("stored_keys", "keys read", case), 1):
-        cluster_state.on_key(key, value, stamp)
-    jobs = {
-        job.id: [job.status, job.done_count, job.pending_count]
-        + [
-            attempt_facts(cluster_state, attempt)
-            for _, attempt in sorted(job.live_attempts.items())
-        ]
-        for job in cluster_state.jobs
-    }
-    machines = sorted(cluster_state.recorded_machines())
-    expect(
-        "stored_keys", "keys read", case, [jobs, machines, cluster_state.machines_by_failing_job]
-    )
-
-
-@pytest.mark.parametrize("case", cases("stored_keys", "rounds"))
-def test_rounds_as_stored(case: str) -> None:
-    placements, limit = given("stored_keys", "rounds", case)
-    expect(
-        "stored_keys",
-        "rounds",
-        case,
-        encode(pack_round_records([Placement(*entry) for entry in placements], limit)),
-    )
-
-
-@pytest.mark.parametrize("case", cases("stored_keys", "finished tasks"))
-def test_finished_tasks_as_stored(case: str) -> None:
-    done, limit = given("stored_keys", "finished tasks", case)
-    expect("stored_keys", "finished tasks", case, encode(pack_finished_tasks(done, limit)))
-
-
-def test_lead_and_epoch_as_stored() -> None:
-    async def scenario() -> None:
-        replies = given("stored_keys", "election", "won, then the token raised")
-        requester = Requester(*replies)
-        client = state_client(requester)
-        shown: list[int] = []
-
-        class Listener:
-            def on_role_changed(self, role: Role) -> None: ...
-
-            async def on_elected(self) -> None: ...
-
-            def on_fencing_token_raised(self, token: int) -> None:
-                shown.append(token)
-
-        cache = WatchCache(client, lambda key, value, stamp: None, 0.15)
-        randomness = random.Random(1)
-        election = Election("n1", client, cache, 10.0, randomness, Listener())
-        election.on_key("epoch", 6, 17)
-        await election._campaign()
-        await election._token_raiser.write(8)
-        asked = requester.asked
-        expect("stored_keys", "election", "won, then the token raised", [asked, shown])
-        lead = given("stored_keys", "election", "another's lead read")
-        election.on_key("lead", lead, 99)
-        facts = [election.leader_name, election.highest_known_epoch, election.may_answer_workers]
-        expect("stored_keys", "election", "another's lead read", facts)
-
-    play(scenario())
-
-
 # ---- users and workers -------------------------------------------------------------------------
 
 
@@ -204,7 +63,7 @@
 
 
 @pytest.mark.parametrize("case", cases("workers", "reports"))
-def test_reports(case: str) -> None:
+def test_worker_heartbeats(case: str) -> None:
     report = protocol.parse_heartbeat(orjson.dumps(given("workers", "reports", case)))
     tasks = [list(leg.job_and_index) for leg in report.tasks]
     facts = {"tasks": tasks, "report": msgspec.to_builtins(report)}
@@ -212,7 +71,7 @@
 
 
 @pytest.mark.parametrize("case", cases("workers", "malformed reports"))
-def test_malformed_reports(case: str) -> None:
+def test_malformed_worker_heartbeats(case: str) -> None:
     with pytest.raises(protocol.BadRequestError) as refused:
         protocol.parse_heartbeat(given("workers", "malformed reports", case).encode())
     expect("workers", "malformed reports", case, str(refused.value))
@@ -343,33 +202,33 @@
 
 
 @pytest.mark.parametrize("case", cases("peers", "greetings taken in"))
-def test_greetings_taken_in(case: str) -> None:
+def test_peer_heartbeats_received(case: str) -> None:
     async def scenario() -> None:
         method, body = given("peers", "greetings taken in", case)
-        mine = PeerHeartbeat("n0", 7, True, True, 3, "a", 2.5)
-        taken: list[PeerHeartbeat] = []
-        greetings = PeerMonitor((), Requester().request, lambda: mine, taken.append, lambda _: 1.5)
-        response = response_facts(await greetings.handle(method, orjson.dumps(body)))
-        expect("peers", "greetings taken in", case, [as_data(taken), response])
+        own = PeerHeartbeat("n0", 7, True, True, 3, "a", 2.5)
+        received: list[PeerHeartbeat] = []
+        monitor = PeerMonitor((), Requester().request, lambda: own, received.append, lambda _: 1.5)
+        response = response_facts(await monitor.handle(method, orjson.dumps(body)))
+        expect("peers", "greetings taken in", case, [as_data(received), response])
 
     play(scenario())
 
 
-def test_greetings_sent() -> None:
+def test_peer_heartbeats_sent() -> None:
     async def scenario() -> None:
         requester = Requester(given("peers", "greetings sent", "answered"))
         lent: list[Any] = []
-        greetings = PeerMonitor(
+        monitor = PeerMonitor(
             settings_of("n0").siblings[:1],
             requester.request,
             lambda: PeerHeartbeat("n0", 7, False, True, 3, "a", 2.5),
             lambda heartbeat: None,
             record_loan=lambda lender, amount, asked_at: lent.append([lender, amount]),
         )
-        running = asyncio.ensure_future(greetings.run())
+        running = asyncio.ensure_future(monitor.run())
         await asyncio.sleep(0.5)
         running.cancel()
-        heard = as_data(greetings.recent(1.0))
+        heard = as_data(monitor.recent(1.0))
         expect("peers", "greetings sent", "answered", [requester.asked, heard, lent])
 
     play(scenario())
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -112,7 +112,7 @@
     run(scenario, seed)
 
 
-# ---- meetings with other troubles ----------------------------------------------------------------
+# ---- together with other faults ------------------------------------------------------------------
 
 
 async def machines_stop_hearing(simulation: Simulation, held: HeldStarts, leader: str) -> None:
@@ -184,11 +184,11 @@
 
 
 async def leader_resigns(simulation: Simulation, held: HeldStarts, leader: str) -> None:
-    """It gives the lead away, and may be elected again at once."""
+    """It resigns, and may be elected again at once."""
     await simulation.nodes[leader].election.resign("for the test", 0.0)
 
 
-TROUBLES = [
+FAULTS = [
     machines_stop_hearing,
     writes_are_lost,
     writes_are_unanswered,
@@ -202,8 +202,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_a_late_start_meets_a_cancellation_and_another_trouble(trouble: Any, seed: int) -> None:
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_late_start_meets_a_cancellation_and_another_fault(fault: Any, seed: int) -> None:
     """Delays from milliseconds to five minutes; the fault begins around the raise of the token."""
 
     async def scenario(simulation: Simulation) -> None:
@@ -216,7 +216,7 @@
         await cancel_elsewhere(simulation, leader)
         busy = asyncio.ensure_future(keep_machines(simulation, max(now(), held.arrived_at) + 5.0))
         await asyncio.sleep(simulation.random.uniform(0.0, 4.0))
-        await trouble(simulation, held, leader)
+        await fault(simulation, held, leader)
         await busy
 
     run(scenario, seed)
