--- a/petrelthread/admin/settings_api.py
+++ b/petrelthread/admin/settings_api.py
@@ -15,6 +15,7 @@
     with_defaults,
 )
 from petrelthread.http import Response, error_response, json_response
+from petrelthread.state import KeyKind
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
@@ -23,7 +24,7 @@
     TransactionConflictError,
 )
 
-OPTIONS_KEY = KEY_PREFIX + "options"
+OPTIONS_KEY = KEY_PREFIX + KeyKind.OPTIONS
 RETRY_AFTER_S = 2
 
 
--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -15,7 +15,7 @@
 from petrelthread.fleet import Health
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.settings import Settings, parse
-from petrelthread.state import ClusterState, Job, JobRecord, encode, epoch_base_number
+from petrelthread.state import ClusterState, Job, JobRecord, KeyKind, encode, epoch_base_number
 
 EPOCH = 3
 CORES = 4.0
@@ -120,7 +120,7 @@
         name = f"host-{number:06d}"
         machine = fleet.get_or_add(name, now)
         machine.machine_type, machine.zone, machine.spot = 0, 0, True
-        machine.scale_out_key = f"c/{EPOCH}-{number // 50}"
+        machine.scale_out_key = KeyKind.SCALE_OUT.key(f"{EPOCH}-{number // 50}")
         for _ in range(IMAGES // 2):
             image = self.state.names.images.index(f"img-{self._random.randrange(IMAGES):02d}")
             machine.use_image(image, 1.5, MACHINE_TYPE.local_disk_gb)
--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -12,6 +12,7 @@
 from petrelthread.state import (
     ClusterState,
     InternedNames,
+    KeyKind,
     Placement,
     encode,
     epoch_base_number,
@@ -67,7 +68,7 @@
 def _stored(leader: PopulatedLeader) -> list[tuple[str, object]]:
     """The keys that hold what the leader knows: jobs and rounds."""
     state = leader.state
-    jobs = [(f"j/{job.id}", leader.stored(job)) for job in state.jobs]
+    jobs = [(KeyKind.JOB.key(job.id), leader.stored(job)) for job in state.jobs]
     entries = [
         Placement(state.names.machines.name(machine), 1, attempt.job.id, attempt.task)
         for machine, there in state.attempts_by_machine.items()
@@ -75,7 +76,8 @@
     ]
     records = pack_round_records(entries, RECORD_BYTES)
     rounds = [
-        (f"r/{epoch_base_number(EPOCH) + n}", encode(record)) for n, record in enumerate(records, 1)
+        (KeyKind.ROUND.key(epoch_base_number(EPOCH) + n), encode(record))
+        for n, record in enumerate(records, 1)
     ]
     return [*jobs, *rounds]
 
--- a/petrelthread/controller/provisioning_loop.py
+++ b/petrelthread/controller/provisioning_loop.py
@@ -12,7 +12,7 @@
 from petrelthread.leadership import ClaimOutcome, ClaimWriter, Election
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.provisioning import Provisioner
-from petrelthread.state import ClusterState
+from petrelthread.state import ClusterState, KeyKind
 from petrelthread.store import KEY_PREFIX
 
 log = logging.getLogger(__name__)
@@ -69,7 +69,7 @@
         value = msgspec.to_builtins(protocol.Catalog(self.provisioner.catalog() or ()))
         if len(msgspec.json.encode(value)) > self.max_value_kb * BYTES_PER_KB:
             return
-        operation = protocol.PutOperation(KEY_PREFIX + "catalog", value)
-        outcome, _ = await self.claims.claim([operation], "catalog")
+        operation = protocol.PutOperation(KEY_PREFIX + KeyKind.CATALOG, value)
+        outcome, _ = await self.claims.claim([operation], KeyKind.CATALOG)
         if outcome is ClaimOutcome.COMMITTED:
             self.cluster_state.catalog = value
--- a/petrelthread/controller/state_changes.py
+++ b/petrelthread/controller/state_changes.py
@@ -13,7 +13,7 @@
 from petrelthread.leadership import ACTIVE_ROLES, Election, Role
 from petrelthread.provisioning import Provisioner, ProvisioningOptions
 from petrelthread.scheduling import Scheduler
-from petrelthread.state import ClusterState, epoch_of
+from petrelthread.state import ClusterState, KeyKind, epoch_of
 
 log = logging.getLogger(__name__)
 
@@ -36,22 +36,27 @@
 
     def on_key(self, key: str, value: Any, revision: int) -> None:
         """A key has changed; ``value`` is None if it was deleted."""
-        if key in ("lead", "epoch"):
+        if key in (KeyKind.LEADER, KeyKind.EPOCH):
             self._election.on_key(key, value, revision)
             return
-        if key == "catalog" and value is not None:
+        if key == KeyKind.CATALOG and value is not None:
             self._apply_catalog(value)
-        if key == "options":
+        if key == KeyKind.OPTIONS:
             self._apply_options(value or {})
         kind, _, rest = key.partition("/")
         active = self._election.role in ACTIVE_ROLES
-        if active and kind == "r" and value is not None and self._is_own_round(int(rest), value):
+        if (
+            active
+            and kind == KeyKind.ROUND
+            and value is not None
+            and self._is_own_round(int(rest), value)
+        ):
             return
         jobs_before = len(self._cluster_state.jobs)
         self._cluster_state.on_key(key, value, revision)
         if self._election.role is Role.LEADING:
-            accepted = kind == "j" and len(self._cluster_state.jobs) > jobs_before
-            self._wake_leader(accepted, finished=kind == "f")
+            accepted = kind == KeyKind.JOB and len(self._cluster_state.jobs) > jobs_before
+            self._wake_leader(accepted, finished=kind == KeyKind.FINAL_STATUS)
 
     def _wake_leader(self, accepted: bool, finished: bool) -> None:
         if accepted:
--- a/petrelthread/fleet/machine_registry.py
+++ b/petrelthread/fleet/machine_registry.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 
 from petrelthread.fleet.machine import Health, Machine
-from petrelthread.state import Attempt, ClusterState, OperationState, TaskKey, transition
+from petrelthread.state import Attempt, ClusterState, KeyKind, OperationState, TaskKey, transition
 
 NO_EPOCH = -1  # the epoch of a controller that does not lead
 
@@ -56,7 +56,7 @@
 
     def is_rented_in_this_epoch(self, machine: Machine) -> bool:
         """Whether this leader rented it, so that no other leader can have answered its worker."""
-        return machine.scale_out_key.startswith(f"c/{self.epoch}-")
+        return machine.scale_out_key.startswith(KeyKind.SCALE_OUT.key(f"{self.epoch}-"))
 
     def begin_epoch(self, epoch: int, now: float, recorded_machines: Collection[str]) -> None:
         """Treat all that was known before as unproven until workers report again.
--- a/petrelthread/job_api/queries.py
+++ b/petrelthread/job_api/queries.py
@@ -8,7 +8,7 @@
 from petrelthread import protocol
 from petrelthread.http import Response, json_response
 from petrelthread.job_api.responses import job_not_found, state_service_unreachable
-from petrelthread.state import ClusterState, Job
+from petrelthread.state import ClusterState, Job, KeyKind
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
@@ -72,7 +72,7 @@
         return json_response(HTTPStatus.OK, protocol.job_response(job_id, job.status))
 
     async def _write_cancellation(self, job_id: str) -> None:
-        key = f"{KEY_PREFIX}f/{job_id}"
+        key = KEY_PREFIX + KeyKind.FINAL_STATUS.key(job_id)
         await self._client.transact(
             [protocol.Condition(key, 0)],
             [protocol.PutOperation(key, protocol.JobStatus.CANCELLED)],
--- a/petrelthread/job_api/submission_queue.py
+++ b/petrelthread/job_api/submission_queue.py
@@ -13,6 +13,7 @@
 import orjson
 
 from petrelthread import protocol
+from petrelthread.state import KeyKind
 from petrelthread.store import (
     KEY_PREFIX,
     LeaseExpiredError,
@@ -50,7 +51,7 @@
 
     @property
     def key(self) -> str:
-        return f"{KEY_PREFIX}j/{self.job_id}"
+        return KEY_PREFIX + KeyKind.JOB.key(self.job_id)
 
     def resolve(self, outcome: SubmissionOutcome) -> None:
         """Set the outcome, unless the one who waited for it was cancelled."""
--- a/petrelthread/provisioning/operations.py
+++ b/petrelthread/provisioning/operations.py
@@ -8,7 +8,7 @@
 
 from petrelthread.fleet import Fleet, Health
 from petrelthread.provisioning.context import RecordCleanup
-from petrelthread.state import ClusterState, OperationState, ScaleOutRecord, transition
+from petrelthread.state import ClusterState, KeyKind, OperationState, ScaleOutRecord, transition
 
 RETRY_INTERVAL_S = 1.5  # until an operation with unknown outcome is sent again
 
@@ -21,7 +21,7 @@
 
     __slots__ = ("idempotency_key", "in_flight", "retry_at", "state", "unknown_at")
 
-    STORE_KEY_PREFIX: ClassVar[str]
+    KEY_KIND: ClassVar[KeyKind]
 
     def __init__(self, idempotency_key: str, state: OperationState) -> None:
         self.idempotency_key = idempotency_key
@@ -33,7 +33,7 @@
     @property
     def store_key(self) -> str:
         """Key of the operation's record in the state service, without the common prefix."""
-        return self.STORE_KEY_PREFIX + self.idempotency_key
+        return self.KEY_KIND.key(self.idempotency_key)
 
 
 class ScaleOutOperation(CloudOperation):
@@ -41,7 +41,7 @@
 
     __slots__ = ("record",)
 
-    STORE_KEY_PREFIX = "c/"
+    KEY_KIND = KeyKind.SCALE_OUT
 
     def __init__(self, idempotency_key: str, record: ScaleOutRecord, state: OperationState) -> None:
         super().__init__(idempotency_key, state)
@@ -53,7 +53,7 @@
 
     __slots__ = ("machine_names",)
 
-    STORE_KEY_PREFIX = "x/"
+    KEY_KIND = KeyKind.SCALE_IN
 
     def __init__(
         self, idempotency_key: str, machine_names: list[str], state: OperationState
--- a/petrelthread/scheduling/claim_applier.py
+++ b/petrelthread/scheduling/claim_applier.py
@@ -17,6 +17,7 @@
     ClusterState,
     FinishedTasksRecord,
     Job,
+    KeyKind,
     OperationState,
     TaskKey,
 )
@@ -110,11 +111,11 @@
 
     def _apply_deletion(self, key: str) -> None:
         kind, _, rest = key.partition("/")
-        if kind == "r":
+        if kind == KeyKind.ROUND:
             self._cluster_state.attempts_by_round.pop(int(rest), None)
-        elif kind == "d":
+        elif kind == KeyKind.FINISHED_TASKS:
             self._cluster_state.open_jobs_by_done_record.pop(int(rest), None)
-        elif kind == "s":
+        elif kind == KeyKind.FAILING_JOB:
             self._cluster_state.machines_by_failing_job.pop(rest, None)
         elif key in self._obsolete_keys:
             self._obsolete_keys.remove(key)
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -16,6 +16,7 @@
     Attempt,
     ClusterState,
     Job,
+    KeyKind,
     Placement,
     RoundRecord,
     pack_finished_tasks,
@@ -86,7 +87,7 @@
         # One key records that a job is complete, and stands for all its tasks.
         claim.completed = finished.completed[: max(1, self._max_operations - RESERVED_OPERATIONS)]
         for job in claim.completed:
-            key = f"f/{job.id}"
+            key = KeyKind.FINAL_STATUS.key(job.id)
             claim.put(key, protocol.JobStatus.DONE)
             claim.absent_keys.append(key)
         if finished.tasks_by_job:
@@ -94,7 +95,7 @@
                 finished.tasks_by_job, self._max_value_bytes
             )
             claim.finished_tasks_number = self._next_record_number()
-            claim.marker = f"d/{claim.finished_tasks_number}"
+            claim.marker = KeyKind.FINISHED_TASKS.key(claim.finished_tasks_number)
             claim.put(claim.marker, claim.finished_tasks_record)
 
     def _collect_finished(self) -> _FinishedWork:
@@ -139,7 +140,7 @@
             packed, postponed = self._pack(starts, claim.stops), True
         for record in packed[:max_records]:
             number = self._next_record_number()
-            key = f"r/{number}"
+            key = KeyKind.ROUND.key(number)
             claim.records.append(NumberedRecord(number, record))
             claim.put(key, record)
             claim.marker = claim.marker or key
@@ -158,7 +159,7 @@
             CONDITIONS_PER_OPERATION * self._max_operations - len(absent_keys) - FENCING_CONDITIONS
         )
         job_ids = list(dict.fromkeys(start.job.id for start in starts))[: max(1, available)]
-        absent_keys += [f"f/{job_id}" for job_id in job_ids]
+        absent_keys += [KeyKind.FINAL_STATUS.key(job_id) for job_id in job_ids]
         covered = set(job_ids)
         return [start for start in starts if start.job.id in covered]
 
@@ -177,7 +178,7 @@
         available = max(0, self._max_operations - len(claim.operations))
         for job_id in list(suspects)[:available]:
             claim.suspects[job_id] = suspects[job_id]
-            claim.put(f"s/{job_id}", suspects[job_id])
+            claim.put(KeyKind.FAILING_JOB.key(job_id), suspects[job_id])
 
     def _add_deletions(self, claim: RoundClaim, now: float) -> None:
         """Delete settled records, as far as the write rate has capacity to spare.
@@ -185,10 +186,15 @@
         A claim that waits for its turn behind deletions would keep tasks waiting.
         """
         cluster_state = self._cluster_state
-        settled = [f"r/{number}" for number in cluster_state.settled_rounds()]
-        settled += [f"d/{number}" for number in cluster_state.obsolete_done_records()]
+        settled = [KeyKind.ROUND.key(number) for number in cluster_state.settled_rounds()]
+        settled += [
+            KeyKind.FINISHED_TASKS.key(number) for number in cluster_state.obsolete_done_records()
+        ]
         settled += self._obsolete_keys
-        settled += [f"s/{job_id}" for job_id in self._fleet.job_failures.cleared_suspects()]
+        settled += [
+            KeyKind.FAILING_JOB.key(job_id)
+            for job_id in self._fleet.job_failures.cleared_suspects()
+        ]
         written = len(claim.operations)
         available = min(self._max_operations - written, self.spare_writes(now) - written)
         claim.deleted_keys = settled[: max(0, available)]
--- a/petrelthread/state/stored_records.py
+++ b/petrelthread/state/stored_records.py
@@ -39,6 +39,10 @@
     CATALOG = "catalog"  # the cloud's machine types
     OPTIONS = "options"  # settings changed by operators
 
+    def key(self, name: object) -> str:
+        """The key of one record of this kind, below the root."""
+        return f"{self}/{name}"
+
 
 # Bits of JobRecord.flags.
 SINGLE_ZONE = 1
