--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -296,7 +296,7 @@
         raise AssertionError(f"not over after {within_s} s: {states}")
 
     async def end_faults(self, for_s: float) -> None:
-        """No trouble any more, while users go on asking every 5 s."""
+        """No faults from now on, while users go on asking every 5 s."""
         self.checker.faults_ended_at = asyncio.get_running_loop().time()
         for _ in range(int(for_s / 5.0)):
             await asyncio.sleep(5.0)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from petrelthread.emulator.worker import Worker
 from petrelthread.leadership import Role
 from tests.scenario import cancel_at, now, other_controllers, query_all_controllers, run
 from tests.simulation import NODES, Simulation, job
@@ -72,7 +73,7 @@
     run(scenario, seed)
 
 
-def test_a_controller_without_the_lead_still_stops_cancelled_tasks() -> None:
+def test_a_controller_that_is_not_leader_still_stops_cancelled_tasks() -> None:
     """A final state is durable and never changes, so to halt for it needs no right to command."""
 
     async def scenario(simulation: Simulation) -> None:
@@ -122,10 +123,46 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("lost", ["cut", "hangs", "not receiving"])
-@pytest.mark.parametrize("change", ["crash", "quick", "refused", "still"])
+def make_unreachable(simulation: Simulation, fault: str, names: set[str]) -> list[Worker]:
+    """Cut machines off, or have them hang or receive nothing; returns their workers."""
+    workers = [simulation.cloud.machines[name].worker for name in names]
+    if fault == "cut":
+        simulation.net.partitions |= {frozenset((name, node)) for name in names for node in NODES}
+    elif fault == "not receiving":
+        simulation.net.not_receiving |= names
+    else:
+        for worker in workers:
+            worker.frozen = True
+    return workers
+
+
+def end_unreachability(simulation: Simulation, workers: list[Worker]) -> None:
+    for worker in workers:
+        worker.frozen = False
+    simulation.net.not_receiving.clear()
+    simulation.net.partitions.clear()
+    simulation.checker.faults_ended_at = now()
+
+
+async def disturb_leader(simulation: Simulation, change: str) -> None:
+    """Pause the leader, cut it off from the state service, or restart it."""
+    leader = await simulation.wait_for_leader()
+    if change == "paused":
+        await simulation.pause(leader, 8.0)
+    elif change == "refused":
+        simulation.state_service.refused.add(leader)
+        await asyncio.sleep(8.0)
+        simulation.state_service.refused.clear()
+    else:
+        simulation.crash(leader)
+        await asyncio.sleep(0.1 if change == "quick" else 5.0)
+        simulation.boot(leader)
+
+
+@pytest.mark.parametrize("fault", ["cut", "hangs", "not receiving"])
+@pytest.mark.parametrize("change", ["crash", "quick", "refused", "paused"])
 def test_jobs_on_unreachable_machines_are_cancelled_while_teams_are_at_their_limit(
-    lost: str, change: str
+    fault: str, change: str
 ) -> None:
     """Cancelled tasks count in their team's limit until they are surely gone, for each leader."""
 
@@ -138,36 +175,13 @@
         task_ids = await simulation.wait_until_running(12)  # both limits of 12 cores
         first = {task_id.rpartition("/")[0] for task_id in task_ids}
         names = {simulation.worker_running(task_id).name for task_id in task_ids[:5]}
-        workers = [simulation.cloud.machines[name].worker for name in names]
-        if lost == "cut":
-            simulation.net.partitions |= {
-                frozenset((name, node)) for name in names for node in NODES
-            }
-        elif lost == "not receiving":
-            simulation.net.not_receiving |= names
-        else:
-            for worker in workers:
-                worker.frozen = True
+        workers = make_unreachable(simulation, fault, names)
         await asyncio.gather(*(simulation.cancel(job_id) for job_id in sorted(first)[:2]))
-        leader = await simulation.wait_for_leader()
-        if change == "still":
-            await simulation.pause(leader, 8.0)
-        elif change == "refused":
-            simulation.state_service.refused.add(leader)
-            await asyncio.sleep(8.0)
-            simulation.state_service.refused.clear()
-        else:
-            simulation.crash(leader)
-            await asyncio.sleep(0.1 if change == "quick" else 5.0)
-            simulation.boot(leader)
+        await disturb_leader(simulation, change)
         for _ in range(16):
             await asyncio.sleep(0.5)
             simulation.checker.check_cancellations()
-        for worker in workers:
-            worker.frozen = False
-        simulation.net.not_receiving.clear()
-        simulation.net.partitions.clear()
-        simulation.checker.faults_ended_at = now()
+        end_unreachability(simulation, workers)
         for _ in range(40):
             await asyncio.sleep(1.0)
             await simulation.poll()
@@ -182,7 +196,7 @@
 @pytest.mark.parametrize("change", ["crash", "quick", "resigns", "rolls", "refused"])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_jobs_are_cancelled_during_a_failover(change: str, seed: int) -> None:
-    """Before, during and after the take-over, at whatever node is there."""
+    """Before, during and after the failover, at whatever controller is there."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 50.0
@@ -252,7 +266,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_cancellation_query_and_resubmission_meet_the_end_of_the_last_task(seed: int) -> None:
+def test_cancellation_query_and_resubmission_race_with_the_end_of_the_last_task(seed: int) -> None:
     """Either final state may win, but only one, and done only if all tasks are."""
 
     async def scenario(simulation: Simulation) -> None:
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_several_faults_at_once(seed: int) -> None:
-    """The rules, nobody forgotten, all served once the troubles are over."""
+    """The rules, nobody forgotten, all served once the faults are over."""
 
     async def scenario(simulation: Simulation) -> None:
         chance = random.Random(seed)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -324,7 +324,7 @@
     assert simulation.checker.start_count == 6
 
 
-def test_silence_proves_less_while_reports_are_turned_away() -> None:
+def test_silence_proves_less_while_heartbeats_are_shed() -> None:
     async def main() -> None:
         simulation = Simulation(1)
         node = simulation.nodes[await simulation.wait_for_leader()]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -98,7 +98,7 @@
     assert sum(m.worker.killed_by_lease for m in simulation.cloud.machines.values()) == 0
 
 
-def test_a_spot_wave_during_a_take_over() -> None:
+def test_a_wave_of_spot_terminations_during_a_failover() -> None:
     async def scenario(simulation: Simulation, load: Load) -> None:
         old = await simulation.wait_for_leader()
         names = sorted(simulation.cloud.machines)
@@ -154,7 +154,7 @@
     run(scenario, THREE_ZONES)
 
 
-def test_a_roll_and_a_leader_that_stands_still_beyond_its_lease() -> None:
+def test_a_rolling_restart_and_a_leader_paused_beyond_its_lease() -> None:
     """What reaches the old leader while it stands still is as old as that when it goes on."""
 
     async def scenario(simulation: Simulation, load: Load) -> None:
@@ -182,7 +182,7 @@
     run(scenario, ONE_ZONE)
 
 
-def test_a_report_that_changes_nothing_looks_only_at_its_own_machine() -> None:
+def test_an_unchanged_heartbeat_examines_only_its_own_machine() -> None:
     async def scenario() -> None:
         simulation = Simulation(1)
         simulation.run_s = 60.0
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -126,7 +126,7 @@
     assert (encode(finished), rest) == ([["wk-1", [0, 2, 7, 7]]], {})
 
 
-def test_greetings_of_both_versions_are_understood() -> None:
+def test_peer_heartbeats_of_both_versions_are_understood() -> None:
     old = b'{"node":"n1","epoch":7,"leading":true,"state_ok":true,"workers":3,"zone":"a"}'
     heartbeat = msgspec.convert(orjson.loads(old), PeerHeartbeat)
     assert (
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("case", cases("workers", "answers to reports"))
-def test_answers_to_reports(case: str) -> None:
+def test_answers_to_heartbeats(case: str) -> None:
     async def scenario() -> None:
         simulation = Simulation()
         leader = await simulation.wait_for_leader()
@@ -94,7 +94,7 @@
 # ---- rentals, catalogue, operators' settings ---------------------------------------------------
 
 
-def test_rental_and_return_as_stored_and_sent() -> None:
+def test_scale_out_and_scale_in_as_stored_and_sent() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         hosts = RecordedHosts(simulation)
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_late_start_meets_a_cancellation_and_another_fault(fault: Any, seed: int) -> None:
+def test_a_late_start_races_with_a_cancellation_and_another_fault(fault: Any, seed: int) -> None:
     """Delays from milliseconds to five minutes; the fault begins around the raise of the token."""
 
     async def scenario(simulation: Simulation) -> None:
@@ -315,7 +315,7 @@
 
 
 @pytest.mark.parametrize("raised_after_s", [0.0, 0.0005])
-def test_a_command_under_way_when_the_token_is_raised_is_sent_again(raised_after_s: float) -> None:
+def test_a_command_in_flight_when_the_token_is_raised_is_sent_again(raised_after_s: float) -> None:
     """Its machine refuses it, which is an answer: nothing waits for it."""
 
     async def scenario(simulation: Simulation) -> None:
@@ -351,7 +351,7 @@
     run(scenario)
 
 
-def test_a_wave_of_unanswered_commands_raises_the_token_at_most_once_a_gap() -> None:
+def test_a_wave_of_unanswered_commands_raises_the_token_at_most_once_an_interval() -> None:
     """Machines hang one after the other for a minute, while jobs are cancelled all the time."""
 
     async def scenario(simulation: Simulation) -> None:
--- a/tests/test_lost_transactions.py
+++ b/tests/test_lost_transactions.py
@@ -13,53 +13,65 @@
 from tests.virtual import play
 
 
-@pytest.mark.parametrize("trouble", ["none", "lost", "late", "slow", "leader ends", "rolls"])
+def delay_or_lose_transactions(simulation: Simulation, fault: str) -> None:
+    """Set the delivery rule of a fault; none for faults of other kinds."""
+    if fault in ("lost", "late"):
+        simulation.net.delivery_rule = lost_transaction_answers(simulation, 0.3, fault == "late")
+    elif fault == "slow":
+        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
+            (simulation.random.uniform(0.0, 0.8), False) if addr == "state:1" else (0.0, False)
+        )
+
+
+async def restart_controllers(simulation: Simulation, fault: str) -> None:
+    """Restart the leader, all controllers in turn, or none, as the fault says."""
+    if fault == "leader ends":
+        leader = await simulation.wait_for_leader()
+        simulation.crash(leader)
+        await asyncio.sleep(simulation.random.choice([0.1, 2.0]))
+        simulation.boot(leader)
+    elif fault == "rolling restart":
+        for name in NODES:
+            simulation.crash(name)
+            await asyncio.sleep(0.3)
+            simulation.boot(name)
+            await asyncio.sleep(0.5)
+
+
+async def submit_and_query(simulation: Simulation, number: int) -> None:
+    """Submit a job, cancel one in three, and query all controllers until it is over."""
+    job_id = f"wk-{number:06d}"
+    await asyncio.sleep(number * 1.5)
+    spec = job(job_id, 1 + number % 3, team=("red", "blue", "guest")[number % 3])
+    await simulation.submit(spec)
+    await query_all_controllers(simulation, job_id)
+    if number % 3 == 0:
+        await asyncio.sleep(simulation.random.choice([0.0, 2.0, 6.0]))
+        await simulation.cancel(job_id)
+        await query_all_controllers(simulation, job_id)
+    for _ in range(40):
+        await asyncio.sleep(0.5)
+        await query_all_controllers(simulation, job_id)
+        if simulation.checker.statuses.get(job_id) in ("done", "aborted"):
+            await query_all_controllers(simulation, job_id)
+            return
+
+
+FAULTS = ["none", "lost", "late", "slow", "leader ends", "rolling restart"]
+
+
+@pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_controller_answers_older_than_another_has(trouble: str, seed: int) -> None:
+def test_no_controller_answers_older_than_another_has(fault: str, seed: int) -> None:
     """Right after a job was accepted, ended or cancelled no node may answer anything older."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.wait_for_leader()
-        if trouble in ("lost", "late"):
-            simulation.net.delivery_rule = lost_transaction_answers(
-                simulation, 0.3, trouble == "late"
-            )
-        elif trouble == "slow":
-            simulation.net.delivery_rule = lambda source, addr, method, target, body: (
-                (simulation.random.uniform(0.0, 0.8), False) if addr == "state:1" else (0.0, False)
-            )
-
-        async def user(number: int) -> None:
-            job_id = f"wk-{number:06d}"
-            await asyncio.sleep(number * 1.5)
-            spec = job(job_id, 1 + number % 3, team=("red", "blue", "guest")[number % 3])
-            await simulation.submit(spec)
-            await query_all_controllers(simulation, job_id)
-            if number % 3 == 0:
-                await asyncio.sleep(simulation.random.choice([0.0, 2.0, 6.0]))
-                await simulation.cancel(job_id)
-                await query_all_controllers(simulation, job_id)
-            for _ in range(40):
-                await asyncio.sleep(0.5)
-                await query_all_controllers(simulation, job_id)
-                if simulation.checker.statuses.get(job_id) in ("done", "aborted"):
-                    await query_all_controllers(simulation, job_id)
-                    return
-
-        users = [asyncio.ensure_future(user(n)) for n in range(12)]
+        delay_or_lose_transactions(simulation, fault)
+        users = [asyncio.ensure_future(submit_and_query(simulation, n)) for n in range(12)]
         for _ in range(4):
             await asyncio.sleep(4.0)
-            if trouble == "leader ends":
-                leader = await simulation.wait_for_leader()
-                simulation.crash(leader)
-                await asyncio.sleep(simulation.random.choice([0.1, 2.0]))
-                simulation.boot(leader)
-            elif trouble == "rolls":
-                for name in NODES:
-                    simulation.crash(name)
-                    await asyncio.sleep(0.3)
-                    simulation.boot(name)
-                    await asyncio.sleep(0.5)
+            await restart_controllers(simulation, fault)
         await asyncio.gather(*users)
         simulation.net.delivery_rule = None
         simulation.checker.faults_ended_at = now()
--- a/tests/test_operator_views.py
+++ b/tests/test_operator_views.py
@@ -38,14 +38,14 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
-    troubles = AlertTracker()
-    troubles.update({"boots": "2 machines are late"}, 10.0)
-    troubles.update({}, 11.0)  # a flicker is not worth a line
+    alerts = AlertTracker()
+    alerts.update({"boots": "2 machines are late"}, 10.0)
+    alerts.update({}, 11.0)  # a flicker is not worth a line
     assert not caplog.records
     for at in range(20, 40):
-        troubles.update({"boots": f"{at} machines are late"}, float(at))
-    assert troubles.duration_s("boots", 40.0) == 20.0
+        alerts.update({"boots": f"{at} machines are late"}, float(at))
+    assert alerts.duration_s("boots", 40.0) == 20.0
     for at in range(40, 50):
-        troubles.update({}, float(at))
-    said = [record.getMessage() for record in caplog.records]
-    assert said == ["alert: 22 machines are late", "alert over after 20 s: boots"]
+        alerts.update({}, float(at))
+    messages = [record.getMessage() for record in caplog.records]
+    assert messages == ["alert: 22 machines are late", "alert over after 20 s: boots"]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_services_under_several_troubles(seed: int) -> None:
+def test_services_under_several_faults(seed: int) -> None:
     """Drawn from all the kinds that test_ops knows, with arrays beside."""
     from tests.test_concurrent_faults import inject_fault
 
@@ -301,7 +301,7 @@
     run(scenario)
 
 
-def test_a_leader_that_hears_no_worker_gives_no_machine_with_replicas_back() -> None:
+def test_a_leader_without_heartbeats_returns_no_machine_with_replicas() -> None:
     """They were well, and its siblings heard them: it is the leader that has to go."""
 
     async def scenario(simulation: Simulation) -> None:
--- a/tests/test_watch_cache.py
+++ b/tests/test_watch_cache.py
@@ -14,7 +14,7 @@
 from tests.virtual import play
 
 
-def test_a_reload_takes_nothing_back_that_a_watch_told_meanwhile() -> None:
+def test_a_reload_undoes_nothing_that_a_watch_showed_meanwhile() -> None:
     """Its pages were older: a round known by the watch looked dropped, and its starts settled."""
     told: list[tuple[str, Any]] = []
 
