--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -24,7 +24,7 @@
 def test_why_a_job_waits() -> None:
     async def scenario() -> None:
         simulation = Simulation()
-        await simulation.submit(job("wk-000001", 20, guess_s=60.0))
+        await simulation.submit(job("wk-000001", 20, estimated_run_s=60.0))
         await asyncio.sleep(2.0)
         _, got = await admin(simulation, "n1", "GET", "jobs/wk-000001")
         assert "booting" in got["why"]
--- a/petrelthread/emulator/workload.py
+++ b/petrelthread/emulator/workload.py
@@ -37,7 +37,7 @@
 def job_spec(job_id: str, tasks: int, **attributes: Any) -> dict[str, Any]:
     """The JSON object of a submission.
 
-    ``attributes`` are given by the names of ``protocol.JobSpec`` or of the JSON object.
+    ``attributes`` are those of ``protocol.JobSpec`` that differ from the defaults.
     """
     spec = {
         "name_id": job_id,
@@ -58,7 +58,7 @@
         "mark_s": 0.0,
         "stow_s": 0.0,
     }
-    return spec | {_FIELDS.get(name, name): value for name, value in attributes.items()}
+    return spec | {_FIELDS[name]: value for name, value in attributes.items()}
 
 
 @dataclass(frozen=True)
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -14,7 +14,7 @@
 from tests.virtual import play
 
 
-async def led_world() -> Simulation:
+async def simulation_with_leader() -> Simulation:
     """Controllers one of which has led for a second."""
     simulation = Simulation()
     await simulation.wait_for_leader()
@@ -66,19 +66,19 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"crew": "green"},
+        {"team": "green"},
         {"cores": 5.0},
         {"cores": 13.0},
-        {"hulls": ["big"]},
+        {"machine_types": ["big"]},
         {"accelerators": 1.0},
         {"ram_gb": 9.0},
-        {"roost": "c"},
+        {"zone": "c"},
     ],
     ids=str,
 )
 def test_a_job_that_can_never_run_is_422(change: dict[str, Any]) -> None:
     async def main() -> None:
-        simulation = await led_world()
+        simulation = await simulation_with_leader()
         status, _ = await simulation.ask("n0", "POST", "/v2/runs", job("wk-000009", 1, **change))
         assert status == 422
         assert (await simulation.ask("n1", "GET", "/v2/runs/wk-000009"))[0] == 404
@@ -99,7 +99,7 @@
     method: str, path: str, expected: int
 ) -> None:
     async def main() -> None:
-        simulation = await led_world()
+        simulation = await simulation_with_leader()
         assert (await simulation.ask("n1", method, path))[0] == expected
 
     play(main())
@@ -107,14 +107,14 @@
 
 def test_one_of_several_submissions_creates_the_job_and_none_is_checked_again() -> None:
     async def main() -> None:
-        simulation = await led_world()
+        simulation = await simulation_with_leader()
         spec = simulation.jobs["wk-000001"] = job("wk-000001", 1)
         answers = await asyncio.gather(
             *(simulation.ask(node, "POST", "/v2/runs", spec) for node in simulation.nodes)
         )
         assert sorted(status for status, _ in answers) == [200, 200, 201]
         status, _ = await simulation.ask(
-            "n0", "POST", "/v2/runs", job("wk-000001", 1, crew="green")
+            "n0", "POST", "/v2/runs", job("wk-000001", 1, team="green")
         )
         assert status == 200
 
@@ -123,7 +123,7 @@
 
 def test_an_outage_of_the_state_service_is_503_at_once() -> None:
     async def main() -> None:
-        simulation = await led_world()
+        simulation = await simulation_with_leader()
         simulation.state_service.set_outage(True)
         before = asyncio.get_running_loop().time()
         assert (await simulation.ask("n2", "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
@@ -140,7 +140,7 @@
     """A user who is turned away comes back only after seconds."""
 
     async def main() -> None:
-        simulation = await led_world()
+        simulation = await simulation_with_leader()
         handle, left = simulation.state_service.handle, refusals
 
         async def busy(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
@@ -167,7 +167,7 @@
     async def main() -> None:
         simulation = Simulation()
         await simulation.wait_for_leader()
-        large = job("wk-000001", 1, bundle="img-" + "x" * 5000)
+        large = job("wk-000001", 1, image="img-" + "x" * 5000)
         status, answer = await simulation.ask("n1", "POST", "/v2/runs", large)
         assert status == 400
         assert "too large" in answer["error"]
--- a/petrelthread/provisioning/test_provisioner.py
+++ b/petrelthread/provisioning/test_provisioner.py
@@ -16,7 +16,7 @@
 
     async def scenario() -> None:
         simulation = Simulation()
-        await simulation.submit(job("wk-000001", 4, guess_s=60.0))
+        await simulation.submit(job("wk-000001", 4, estimated_run_s=60.0))
         await simulation.wait_until_running(4)
         first = await simulation.wait_for_leader()
         lost = next(iter(simulation.cloud.machines.values())).worker
@@ -45,7 +45,7 @@
 
     async def scenario() -> None:
         simulation = Simulation()
-        await simulation.submit(job("wk-000001", 6, guess_s=60.0))
+        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
         await simulation.wait_until_over(60.0)
         await asyncio.sleep(3.0)
         rented = simulation.cloud.rented
@@ -53,7 +53,7 @@
         for machine in simulation.cloud.machines.values():  # their next reports come late
             machine.worker.frozen = True
         simulation.crash(await simulation.wait_for_leader())
-        await simulation.submit(job("wk-000002", 6, guess_s=60.0))
+        await simulation.submit(job("wk-000002", 6, estimated_run_s=60.0))
         await simulation.wait_for_leader()
         await asyncio.sleep(2.5)
         assert simulation.cloud.rented == rented
@@ -80,7 +80,7 @@
             (m.description.spot, m.description.zone) for m in simulation.cloud.machines.values()
         ]
         assert {(False, "a"), (False, "b")} <= set(kinds)
-        await simulation.submit(job("wk-000002", 1, jobclass="rush"))
+        await simulation.submit(job("wk-000002", 1, job_class="rush"))
         await asyncio.sleep(75.0)
         # Its first job accepts spot machines: no on-demand capacity is kept any more.
         assert all(m.description.spot for m in simulation.cloud.machines.values())
--- a/petrelthread/provisioning/test_scale_in.py
+++ b/petrelthread/provisioning/test_scale_in.py
@@ -45,7 +45,7 @@
     async def scenario() -> None:
         simulation = Simulation(1)
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 1, guess_s=60.0))
+        await simulation.submit(job("wk-000001", 1, estimated_run_s=60.0))
         await simulation.wait_until_running(1)
         node = simulation.nodes[await simulation.wait_for_leader()]
         now = asyncio.get_running_loop().time()
--- a/petrelthread/provisioning/test_scale_out.py
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -42,7 +42,7 @@
             return status, answer
 
         simulation.net.hosts["cloud:1"] = cloud
-        await simulation.submit(job("wk-000001", 2000, guess_s=60.0))
+        await simulation.submit(job("wk-000001", 2000, estimated_run_s=60.0))
         while simulation.cloud.rented < 420:
             await asyncio.sleep(0.1)
         await asyncio.sleep(6.0)
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -74,7 +74,7 @@
 ) -> None:
     cluster.machine(1, "a")
     other = cluster.machine(2, "b", taken_cores=4.0)
-    cluster.accept(job(JOB, 3, cores=1.0, same_place=True))
+    cluster.accept(job(JOB, 3, cores=1.0, single_zone=True))
     heartbeat = heartbeat_of(other.name, "b", [f"{JOB}/0"])
     cluster.claims.meanwhile = lambda: receive(cluster, heartbeat)
     await cluster.scheduler.run_round(now())
@@ -88,7 +88,7 @@
     lost = cluster.machine(1, "a")
     cluster.machine(2, "b")
     cluster.accept(job(JOB, 8, cores=1.0))
-    cluster.accept(job("wk-000002", 1, cores=0.5, ram_gb=0.5, crew="guest"))
+    cluster.accept(job("wk-000002", 1, cores=0.5, ram_gb=0.5, team="guest"))
 
     def meanwhile() -> None:
         lost.transition(Health.UNRESPONSIVE)
@@ -102,7 +102,7 @@
 
 
 def gang_of(cluster: Cluster, job_id: str, machines: range) -> list[Start]:
-    spec = job(job_id, len(machines), shape="group", crew="guest")
+    spec = job(job_id, len(machines), kind="group", team="guest")
     accepted = cluster.accept(spec)
     return [Start(accepted, n, cluster.machine(m, "a")) for n, m in enumerate(machines)]
 
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -80,7 +80,7 @@
         self.cluster = cluster
         self.random = random.Random(seed)
         self.jobs = [
-            cluster.accept(job(f"wk-{n:06d}", 400, cores=0.5, bundle=f"img-{n}", crew="guest"))
+            cluster.accept(job(f"wk-{n:06d}", 400, cores=0.5, image=f"img-{n}", team="guest"))
             for n in range(6)
         ]
         self.attempts: list[Attempt] = []
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -16,7 +16,7 @@
     """The job makes two requests, and both have to choose the same zone (incident wk-840897)."""
     cluster.machine(1, "a", taken_cores=2.0)  # one more task fits: enough for the first request
     cluster.machine(2, "b")  # two fit: most of the others
-    cluster.accept(job("wk-000001", 3, same_place=True), waited_s=OVERDUE_S)
+    cluster.accept(job("wk-000001", 3, single_zone=True), waited_s=OVERDUE_S)
     zones = cluster.zones_of_starts("wk-000001")
     assert zones
     assert len(set(zones)) == 1, zones
@@ -28,7 +28,7 @@
     cluster.machine(2, "a")
     for tasks in (3, 4, 5):
         job_id = f"wk-00000{tasks}"
-        spec = job(job_id, tasks, scatter=True, cores=0.5, ram_gb=0.5)
+        spec = job(job_id, tasks, spread_zones=True, cores=0.5, ram_gb=0.5)
         cluster.accept(spec, waited_s=OVERDUE_S)
         assert len(cluster.zones_of_starts(job_id)) == (tasks + 1) // 2, tasks
 
@@ -42,7 +42,7 @@
         for attempt in cluster.fleet.attempts_on(machine).values():
             attempt.job.priority = protocol.PRIORITIES["low"]
             transition(attempt, OperationState.CONFIRMED)
-    spec = job("wk-000001", 3, cores=4.0, ram_gb=1.0, rank="high")
+    spec = job("wk-000001", 3, cores=4.0, ram_gb=1.0, priority="high")
     cluster.accept(spec, waited_s=OVERDUE_S)
     decision = cluster.scheduler.decide(now())
     assert [start.job.id for start in decision.starts] == ["wk-000001"]
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -43,7 +43,7 @@
 
 @cluster_test
 def test_starts_of_one_round_are_checked_together_with_what_is_live(cluster: Cluster) -> None:
-    case = Case(cluster, same_place=True)
+    case = Case(cluster, single_zone=True)
     assert case.refused((0, A), (1, B), (2, A)) == [(1, Violation.SINGLE_ZONE)]
     case.live(3, case.machines[B])
     assert case.refused((0, A), (1, B)) == [(0, Violation.SINGLE_ZONE)]
@@ -51,7 +51,7 @@
 
 @cluster_test
 def test_a_spread_job_has_at_most_half_of_its_tasks_in_a_zone(cluster: Cluster) -> None:
-    case = Case(cluster, scatter=True)
+    case = Case(cluster, spread_zones=True)
     assert case.refused((0, A), (1, A), (2, A), (3, B)) == [(2, Violation.SPREAD)]
     case.live(3, case.machines[A])
     assert case.refused((0, A), (1, A)) == [(1, Violation.SPREAD)]
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize(
     ("flag", "violation"),
-    [("same_place", Violation.SINGLE_ZONE), ("scatter", Violation.SPREAD)],
+    [("single_zone", Violation.SINGLE_ZONE), ("spread_zones", Violation.SPREAD)],
 )
 @cluster_test
 def test_a_task_whose_zone_is_unknown_may_be_in_any_zone(
@@ -80,9 +80,9 @@
 @pytest.mark.parametrize(
     ("spec", "violation"),
     [
-        ({"driftwood": False}, Violation.SPOT),
-        ({"roost": "b"}, Violation.ZONE),
-        ({"hulls": ["large"]}, Violation.MACHINE_TYPE),
+        ({"spot_allowed": False}, Violation.SPOT),
+        ({"zone": "b"}, Violation.ZONE),
+        ({"machine_types": ["large"]}, Violation.MACHINE_TYPE),
     ],
 )
 @cluster_test
@@ -121,7 +121,7 @@
 
 @cluster_test
 def test_a_gang_starts_whole_or_not_at_all(cluster: Cluster) -> None:
-    case = Case(cluster, shape="group", same_place=True)
+    case = Case(cluster, kind="group", single_zone=True)
     refused = case.refused((0, A), (1, B), (2, A))
     assert refused == [
         (1, Violation.SINGLE_ZONE),
@@ -134,7 +134,7 @@
 def test_a_refused_start_is_logged_and_not_claimed(
     cluster: Cluster, caplog: pytest.LogCaptureFixture
 ) -> None:
-    case = Case(cluster, same_place=True)
+    case = Case(cluster, single_zone=True)
     decided = [Start(case.job, 0, case.machines[A]), Start(case.job, 1, case.machines[B])]
     claim = cluster.builder.build(decided, [], 0.0)
     assert [encode(record) for _, record in claim.records] == [
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -83,8 +83,8 @@
     async def add(self, jobs: int, tasks: int, **more: Any) -> None:
         for _ in range(jobs):
             self.count += 1
-            crew = f"team-{self.count % TEAMS:02d}"
-            spec = job(f"wk-{self.count:06d}", tasks, team=crew, estimated_run_s=20.0, **more)
-            spec["bundle"] = f"img-{self.count % 6}"
+            team, image = f"team-{self.count % TEAMS:02d}", f"img-{self.count % 6}"
+            description = {"team": team, "image": image, "estimated_run_s": 20.0} | more
+            spec = job(f"wk-{self.count:06d}", tasks, **description)
             await self.simulation.submit(spec)
             self.asked[spec["name_id"]] = asyncio.get_running_loop().time()
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -111,7 +111,7 @@
         machine.machine_type, machine.zone, machine.spot = 0, self.names.zones.index(zone), True
         machine.incarnation, machine.acknowledged_epoch, machine.health = 1, EPOCH, Health.UP
         if taken_cores:
-            other = self.accept(job(f"wk-9{number:05d}", 1, cores=taken_cores, crew="guest"))
+            other = self.accept(job(f"wk-9{number:05d}", 1, cores=taken_cores, team="guest"))
             self.cluster_state.add_attempt(epoch_base_number(EPOCH) - 1, other, 0, machine.index, 1)
         return machine
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -201,8 +201,8 @@
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 50.0
         for n in range(10):
-            crew = ("red", "blue", "guest")[n % 3]
-            await simulation.submit(job(f"wk-{n:06d}", 2, team=crew, estimated_run_s=50.0))
+            team = ("red", "blue", "guest")[n % 3]
+            await simulation.submit(job(f"wk-{n:06d}", 2, team=team, estimated_run_s=50.0))
         await simulation.wait_until_running(8)
 
         async def users() -> None:
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -187,10 +187,12 @@
         simulation.spread_s = 8.0
         simulation.failing_jobs.add("wk-000003")
         for n in range(10):
-            crew = ("red", "blue", "guest")[n % 3]
-            rank = "low" if crew == "guest" else chance.choice(["standard", "high"])
-            more = {"mark_s": 2.0, "stow_s": 1.0} if crew == "guest" else {}
-            spec = job(f"wk-{n:06d}", chance.choice([1, 4, 20]), team=crew, priority=rank, **more)
+            team = ("red", "blue", "guest")[n % 3]
+            priority = "low" if team == "guest" else chance.choice(["standard", "high"])
+            more = {"checkpoint_interval_s": 2.0, "grace_period_s": 1.0} if team == "guest" else {}
+            spec = job(
+                f"wk-{n:06d}", chance.choice([1, 4, 20]), team=team, priority=priority, **more
+            )
             await simulation.submit({**spec, "cores": chance.choice([1.0, 2.0, 4.0])})
         await simulation.wait_until_running(2)
         ends = []
@@ -210,8 +212,8 @@
 def test_no_fault(seed: int) -> None:
     async def scenario(simulation: Simulation) -> None:
         for n in range(6):
-            crew = "red" if n % 2 else "blue"
-            await simulation.submit(job(f"wk-{n:06d}", 3 + n, team=crew))
+            team = "red" if n % 2 else "blue"
+            await simulation.submit(job(f"wk-{n:06d}", 3 + n, team=team))
         await simulation.wait_until_over(120.0)
 
     simulation = run(scenario, seed)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize(
     ("flag", "third_zone"),
-    [("same_place", "b"), ("scatter", "a")],  # a second zone; more than half in one zone
+    [("single_zone", "b"), ("spread_zones", "a")],  # a second zone; more than half in one zone
 )
 def test_third_task_in_wrong_zone_is_reported(flag: str, third_zone: str) -> None:
     def scenario(simulation: Simulation) -> None:
@@ -89,9 +89,9 @@
 @pytest.mark.parametrize(
     ("spec", "spot"),
     [
-        ({"hulls": ["large"]}, False),
-        ({"roost": "b"}, False),
-        ({"driftwood": False}, True),
+        ({"machine_types": ["large"]}, False),
+        ({"zone": "b"}, False),
+        ({"spot_allowed": False}, True),
     ],
 )
 def test_machine_that_job_does_not_allow_is_reported(spec: dict[str, Any], spot: bool) -> None:
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -171,9 +171,9 @@
         hosts = RecordedHosts(simulation)
         leader = await simulation.wait_for_leader()
         follower = next(name for name in simulation.nodes if name != leader)
-        await simulation.submit(job("wk-000001", 2, crew="red"))
-        await simulation.submit(job("wk-000002", 2, crew="blue", shape="service", rank="prod"))
-        await simulation.submit(job("wk-000003", 9, crew="guest", shape="group", cores=3.0))
+        await simulation.submit(job("wk-000001", 2, team="red"))
+        await simulation.submit(job("wk-000002", 2, team="blue", kind="service", priority="prod"))
+        await simulation.submit(job("wk-000003", 9, team="guest", kind="group", cores=3.0))
         await until(125.0)
         for case in cases("admin", "answers"):
             asked, method, path = given("admin", "answers", case)
@@ -255,8 +255,10 @@
         simulation.failing_jobs.add("wk-000002")
         simulation.spread_s = 6.0
         for n in range(4):
-            await simulation.submit(job(f"wk-{n:06d}", 12, crew=("red", "blue")[n % 2], due_s=90.0))
-        await simulation.submit(job("wk-000009", 2, crew="guest", shape="service", rank="prod"))
+            await simulation.submit(
+                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], deadline_s=90.0)
+            )
+        await simulation.submit(job("wk-000009", 2, team="guest", kind="service", priority="prod"))
         running = await simulation.wait_until_running(8)
         await simulation.cancel(
             next(task_id[:9] for task_id in running if not task_id.startswith("wk-000009"))
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -66,8 +66,8 @@
             late if target == "/checkin" and simulation.random.random() < 0.5 else None
         )
         for n in range(4):
-            crew = "red" if n % 2 else "blue"
-            await simulation.submit(job(f"wk-{n:06d}", 6, team=crew, estimated_run_s=20.0))
+            team = "red" if n % 2 else "blue"
+            await simulation.submit(job(f"wk-{n:06d}", 6, team=team, estimated_run_s=20.0))
         task_ids = await simulation.wait_until_running(4)
         lost = simulation.worker_running(task_ids[0])
         simulation.net.partitions |= {
