--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -52,7 +52,7 @@
 
 def _add_soak(commands: Subparsers[argparse.ArgumentParser]) -> None:
     soak = commands.add_parser(
-        "soak", help="real controllers over loopback under random faults, judged from outside"
+        "soak", help="real controllers over loopback under random faults, with an invariant checker"
     )
     soak.add_argument("--seeds", type=_positive, default=1, help="how many (default: 1)")
     soak.add_argument("--first-seed", type=int, default=1, help="the first one (default: 1)")
--- a/petrelthread/emulator/invariant_checker.py
+++ b/petrelthread/emulator/invariant_checker.py
@@ -1,4 +1,4 @@
-"""Checks PROTOCOL's rules from outside: by what workers do and what users are told.
+"""Checks of PROTOCOL's rules as a black box: by what workers do and what users are told.
 
 The state service is looked at for one purpose: starts must be recorded before they happen, and none
 may be recorded for a job that is over.
--- a/petrelthread/emulator/soak.py
+++ b/petrelthread/emulator/soak.py
@@ -1,4 +1,4 @@
-"""Soak: real controllers on the loopback interface under random faults, checked from outside.
+"""Soak: real controllers on the loopback interface under random faults, with an invariant checker.
 
 A seed determines the workload and the faults. Processes and sockets are real, so controllers may
 react differently from run to run.
