--- a/petrelthread/emulator/loopback.py
+++ b/petrelthread/emulator/loopback.py
@@ -5,11 +5,12 @@
 import asyncio
 import contextlib
 import socket
-from collections.abc import Awaitable, Callable, Coroutine
+from collections.abc import Awaitable, Callable
 from typing import Any
 
 import orjson
 
+from petrelthread.background_tasks import BackgroundTasks
 from petrelthread.emulator.environment import RequestHandler, RequestSender
 from petrelthread.emulator.faults import LinkFaults
 from petrelthread.http import (
@@ -62,7 +63,7 @@
         self._bound: dict[str, socket.socket] = {}
         self._servers: dict[str, asyncio.Server] = {}
         self._names: dict[str, str] = {}  # by address: who listens there
-        self._background: set[asyncio.Task[Any]] = set()
+        self._background = BackgroundTasks()
 
     # ---- listening ---------------------------------------------------------------------------
 
@@ -80,7 +81,7 @@
 
     def attach(self, address: str, name: str, handler: RequestHandler) -> None:
         """Serve requests of any controller at a reserved address."""
-        self._background_task(self._listen(address, CONTROLLER, name, handler))
+        self._background.start(self._listen(address, CONTROLLER, name, handler))
 
     async def link(self, source: str, name: str, handler: RequestHandler) -> str:
         """Serve the requests of one source. Returns the address for them."""
@@ -134,7 +135,7 @@
             name = self._names.get(address, address)
             copy_s = self._faults.copy_delay_s(target)
             if copy_s is not None:
-                self._background_task(self._repeat(client, copy_s, address, method, target, body))
+                self._background.start(self._repeat(client, copy_s, address, method, target, body))
             cut = frozenset((source, name)) in self._faults.cut
             if cut or source in self._faults.not_sending:
                 await asyncio.sleep(timeout)
@@ -155,15 +156,9 @@
         with contextlib.suppress(NoResponseError):  # the copy's answer is not used
             await client.request(address, method, target, body)
 
-    def _background_task(self, work: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.ensure_future(work)
-        self._background.add(task)
-        task.add_done_callback(self._background.discard)
-
     def close(self) -> None:
         """Cancel background tasks and free all ports."""
-        for task in self._background:
-            task.cancel()
+        self._background.cancel_all()
         for address in [*self._servers, *self._bound]:
             self.detach(address)
 
--- a/petrelthread/emulator/loopback_environment.py
+++ b/petrelthread/emulator/loopback_environment.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import math
 import random
 import time
@@ -14,6 +13,7 @@
 import msgspec
 
 from petrelthread import protocol
+from petrelthread.background_tasks import BackgroundTasks
 from petrelthread.emulator.cloud import Cloud
 from petrelthread.emulator.faults import CLOUD, STATE, LinkFaults
 from petrelthread.emulator.invariant_checker import InvariantChecker, job_id_of
@@ -116,15 +116,13 @@
         self._peers = {name: self.net.reserve_for_process(name) for name in names}
         self._options = options
         self._directory = directory
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._tasks = BackgroundTasks()
 
     # ---- interface of the emulated programs --------------------------------------------------
 
     def background(self, work: Coroutine[Any, Any, Any]) -> None:
         """Run something as a task of its own."""
-        task = asyncio.ensure_future(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._tasks.start(work)
 
     def public_address(self, node: str) -> str:
         """Where workers and users reach a controller."""
@@ -186,6 +184,5 @@
             controller.kill()
         for name in list(self.cloud.machines):
             self.cloud.remove(name)
-        for task in self._tasks:
-            task.cancel()
+        self._tasks.cancel_all()
         self.net.close()
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -14,6 +14,7 @@
 from http import HTTPStatus
 
 from petrelthread import protocol
+from petrelthread.background_tasks import BackgroundTasks
 from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
 from petrelthread.fleet.machine_registry import NO_EPOCH
@@ -58,6 +59,7 @@
         self._request = request
         self._command_slots = command_slots
         self._may_start_tasks = may_start_tasks
+        self._sending = BackgroundTasks()
 
     def send(self, starts: list[Attempt], stops: list[Attempt]) -> None:
         """Send the starts and stops of a committed claim to their machines."""
@@ -75,7 +77,7 @@
             # A machine that has not responded gets its commands with its next heartbeat, so that
             # unreachable machines do not occupy the slots while others wait.
             if machine.last_message_at >= machine.last_unanswered_at:
-                asyncio.create_task(self._send(machine, changes, self._fleet.epoch))
+                self._sending.start(self._send(machine, changes, self._fleet.epoch))
 
     async def _send(self, machine: Machine, changes: MachineChanges, epoch: int) -> None:
         fleet = self._fleet
--- a/petrelthread/fleet/worker_status_reader.py
+++ b/petrelthread/fleet/worker_status_reader.py
@@ -7,6 +7,7 @@
 from http import HTTPStatus
 
 from petrelthread import protocol
+from petrelthread.background_tasks import BackgroundTasks
 from petrelthread.fleet.failure_detector import FailureDetector
 from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
@@ -44,6 +45,7 @@
         self._failure_detector = failure_detector
         self._request = request
         self._command_slots = command_slots
+        self._reading = BackgroundTasks()
 
     def read_workers(self, now: float, late_s: float = 0.0) -> None:
         """Read some of the workers that have not acknowledged this epoch.
@@ -59,7 +61,7 @@
         most = MAX_READS if late_s < MAX_LOOP_DELAY_S else MAX_READS_WHEN_LATE
         for machine in self._failure_detector.unread_machines(now)[:most]:
             machine.last_read_at = now
-            asyncio.create_task(self._read_worker(machine, self._fleet.epoch))
+            self._reading.start(self._read_worker(machine, self._fleet.epoch))
 
     async def _read_worker(self, machine: Machine, epoch: int) -> None:
         fleet = self._fleet
@@ -107,7 +109,7 @@
         """Ask machines with service replicas whose heartbeat is overdue for a sign of life."""
         for machine in self._failure_detector.overdue_machines(now):
             machine.probing = True
-            asyncio.create_task(self._probe(machine, self._fleet.epoch))
+            self._reading.start(self._probe(machine, self._fleet.epoch))
 
     async def _probe(self, machine: Machine, epoch: int) -> None:
         asked_at = asyncio.get_running_loop().time()
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -12,6 +12,7 @@
 import logging
 import random
 
+from petrelthread.background_tasks import BackgroundTasks
 from petrelthread.leadership.campaign import Campaign, CampaignLostError
 from petrelthread.leadership.fencing_token import FencingTokenRaiser
 from petrelthread.leadership.leader_keys import EPOCH_KEY, LEADER_KEY
@@ -77,6 +78,7 @@
         self._stored_epoch = 0  # the epoch key as last read
         self._stored_epoch_revision = 0
         self._abstain_until = 0.0
+        self._failovers = BackgroundTasks()
         self._wake = asyncio.Event()  # ends the delay to the next step
 
     # ---- changes of the role -------------------------------------------------------------------
@@ -246,7 +248,7 @@
         self.elected_at = self._now()
         self._state_loaded = False
         self._transition(Role.FAILING_OVER, "elected")
-        asyncio.create_task(self._fail_over())
+        self._failovers.start(self._fail_over())
 
     # ---- leader --------------------------------------------------------------------------------
 
@@ -289,7 +291,7 @@
         if not self._state_loaded:
             # The outage interrupted the failover, which has to be repeated.
             self._transition(Role.FAILING_OVER, "the lease was renewed after all")
-            asyncio.create_task(self._fail_over())
+            self._failovers.start(self._fail_over())
         # What others wrote meanwhile has to be read before anything is commanded.
         elif await self._watch_cache.refresh() and self.role is Role.LEASE_GRACE:
             self._transition(Role.LEADING, "the lease was renewed after all")
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -16,6 +16,7 @@
 
 import orjson
 
+from petrelthread.background_tasks import BackgroundTasks
 from petrelthread.controller import Controller
 from petrelthread.emulator.cloud import Cloud
 from petrelthread.emulator.invariant_checker import InvariantChecker
@@ -153,14 +154,12 @@
         self.net.hosts["cloud:1"] = self.cloud.handle
         self.nodes: dict[str, Controller] = {}
         self._running: dict[str, asyncio.Task[None]] = {}
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._tasks = BackgroundTasks()
         for name in deployment.nodes:
             self.boot(name)
 
     def background(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._tasks.start(work)
 
     def public_address(self, node: str) -> str:
         return f"{node}:1"
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parent.parent
 PACKAGES = ROOT / "petrelthread"
 TABLE_ROW = re.compile(r"^\| (`\w+`(?:, `\w+`)*) \|", re.MULTILINE)
-UNRANKED = {"interner", "pause_detector"}  # modules that import no package
+UNRANKED = {"background_tasks", "interner", "pause_detector"}  # modules that import no package
 TOOLS_STARTED_BY_CLI = {"emulator", "benchmark"}
 
 
