--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -98,7 +98,7 @@
         heartbeat.sequence_number += 1
         machine = controller.fleet.on_heartbeat(heartbeat, now, answered=True)
         assert machine is not None
-        controller.command_planner.for_heartbeat(machine, heartbeat, now)
+        controller.command_planner.for_heartbeat(machine, heartbeat, now, may_start=True)
 
     def one_round() -> None:
         _change_some(leader)
--- a/petrelthread/fleet/__init__.py
+++ b/petrelthread/fleet/__init__.py
@@ -3,10 +3,10 @@
 Where the decisions are made:
 
 - whether a worker is answered: ``HeartbeatHandler._refusal``;
-- whether a start may be sent: ``CommandDispatcher._starts_that_may_be_sent`` for direct commands,
-  ``CommandPlanner._starts`` for answers to heartbeats;
-- when a machine is unresponsive, and when it is lost: ``FailureDetector.check``; the arithmetic of
-  leases is in ``WorkerLeases.expires_at``;
+- whether a start on record may be sent: ``CommandDispatcher._starts_that_may_be_sent`` for direct
+  commands, ``CommandPlanner.for_heartbeat`` for answers to heartbeats;
+- when a machine is unresponsive, and when it is lost: ``FailureDetector``; when the lease of its
+  worker has certainly expired: ``WorkerLeases.expires_at``;
 - what ends the tasks of a cancelled job: ``CommandPlanner``; and ``UnacknowledgedStarts`` for
   starts that may still arrive, where the life of a start is documented.
 """
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -128,11 +128,11 @@
             self._give_up(starting, request_sent=True)
             return None
         for attempt in starting:
-            fleet.unacknowledged_starts.on_answered(attempt)
+            fleet.unacknowledged_starts.on_acknowledged(attempt)
         return response
 
     def _starts_that_may_be_sent(self, machine: Machine, starts: list[Attempt]) -> list[Attempt]:
-        """Decide which direct starts may be sent now: the one place that does.
+        """Decide which of a machine's direct starts may be sent now.
 
         While they waited for their turn, a start may have gone out with the answer to a heartbeat,
         its job may have been cancelled, its worker may have restarted, or this controller may have
@@ -154,9 +154,9 @@
         """No response came; if the request was sent, it may arrive at any time."""
         for attempt in starts:
             if not request_sent:
-                self._fleet.unacknowledged_starts.on_answered(attempt)
+                self._fleet.unacknowledged_starts.on_acknowledged(attempt)
                 continue
-            self._fleet.unacknowledged_starts.on_unanswered(attempt)
+            self._fleet.unacknowledged_starts.on_no_response(attempt)
             if attempt.state is OperationState.DISPATCHING:
                 transition(attempt, OperationState.UNKNOWN)
 
--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -1,9 +1,9 @@
 """The commands that a worker gets with the answer to its heartbeat.
 
-This is also what ends the tasks of a cancelled job: every heartbeat that still lists one of them is
-answered with a stop command, by a leader in ``for_heartbeat`` and by any other controller that
-answers workers in ``stops_for_finished_jobs``. Starts of such a job that a worker does not list yet
-are the concern of ``unacknowledged_starts``.
+This is also what ends the tasks of a cancelled job: the answer to a heartbeat that still lists one
+of them has a stop command, by a leader in ``for_heartbeat``, and by a controller that fails over or
+is in its lease grace period in ``stops_for_finished_jobs``. Starts of such a job that a worker does
+not list yet are the concern of ``unacknowledged_starts``.
 """
 
 from __future__ import annotations
@@ -54,10 +54,13 @@
         machine: Machine,
         heartbeat: protocol.WorkerHeartbeat,
         now: float,
-        may_start: bool = True,
+        may_start: bool,
     ) -> list[protocol.Command]:
         """Return the leader's commands for the heartbeat that has just been reconciled.
 
+        They have starts only if ``may_start``, and if no direct command to the machine is in
+        flight.
+
         Args:
             machine: The sender.
             heartbeat: The newest one of the machine.
@@ -152,10 +155,7 @@
         return commands
 
     def _may_be_started(self, attempt: Attempt, incarnation: int) -> bool:
-        """Whether the attempt is a start of this epoch, meant for this incarnation of the worker.
-
-        ``CommandDispatcher`` decides for direct commands.
-        """
+        """Whether it is a start of this epoch, meant for this incarnation of the worker."""
         return (
             attempt.incarnation == incarnation
             and not attempt.has_exited
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -1,13 +1,15 @@
 """When a machine counts as unresponsive, and when its tasks count as lost.
 
-Two decisions, with different proof; ``FailureDetector.check`` makes both:
-
-- *Unresponsive*: the machine sends no heartbeats for too long, responds to no probe or read, or has
-  stopped receiving anything. It gets no new work, and the provisioner returns it. Its tasks may
-  still run, so that none of them starts elsewhere yet.
-- *Lost*: the worker's lease has certainly expired (``WorkerLeases.expires_at``), or the cloud has
-  confirmed the machine's return. ``Fleet.mark_lost`` ends its attempts, and their tasks may start
-  elsewhere.
+Two decisions, with different proof:
+
+- *Unresponsive*: the machine sends no heartbeats for too long, responds to no read, or has stopped
+  receiving anything (``FailureDetector.check``), or it responds to no probe (``on_probe``). It gets
+  no new work, and the provisioner returns it. Its tasks may still run, so that none of them starts
+  elsewhere yet.
+- *Lost*: the worker's lease has certainly expired (``check`` asks ``WorkerLeases.expires_at``), or
+  the cloud has confirmed the machine's return (``provisioning``). ``Fleet.mark_lost`` ends its
+  attempts, and their tasks may start elsewhere. A new incarnation of the worker ends the attempts
+  of the former one likewise (``HeartbeatReconciler``).
 """
 
 from __future__ import annotations
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -71,8 +71,8 @@
         Returns:
             None if the worker is answered, which renews its lease. Else what it gets instead: 421
             with another controller's name if this one may not answer workers, or 503 if the lease
-            has to expire because a start that must not be carried out any more may still reach the
-            machine.
+            has to expire because a direct start may still reach the machine, whose job was last
+            known to be open longer ago than the lease grace period.
         """
         election = self._election
         if not election.may_answer_workers:
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -54,7 +54,7 @@
         report.address = machine.name
         now = asyncio.get_running_loop().time()
         assert self.fleet.on_heartbeat(report, now, answered=True) is machine
-        commands = CommandPlanner(self.fleet).for_heartbeat(machine, report, now)
+        commands = CommandPlanner(self.fleet).for_heartbeat(machine, report, now, may_start=True)
         return [command.task_id for command in commands]
 
     async def request(
--- a/petrelthread/fleet/test_command_planner.py
+++ b/petrelthread/fleet/test_command_planner.py
@@ -11,10 +11,10 @@
 ) -> None:
     machine, attempt = add_attempt(fleet, attempt_number(1))
     fleet.on_start_sent(attempt, machine, ELECTED_AT)
-    fleet.unacknowledged_starts.on_unanswered(attempt)
+    fleet.unacknowledged_starts.on_no_response(attempt)
     stopped = heartbeat(1, tasks=[exited(attempt.number, "stopped")])
     fleet.on_heartbeat(stopped, 101.0, answered=True)
-    assert not command_planner.for_heartbeat(machine, stopped, 101.0)
+    assert not command_planner.for_heartbeat(machine, stopped, 101.0, may_start=True)
     # The late command does not match a new incarnation.
     fleet.on_heartbeat(heartbeat(2, incarnation=2), 102.0, answered=True)
     assert not fleet.unacknowledged_starts.count()
--- a/petrelthread/fleet/test_heartbeat_reconciler.py
+++ b/petrelthread/fleet/test_heartbeat_reconciler.py
@@ -54,7 +54,7 @@
         now = 100.0 + sequence_number
         without_task = heartbeat(sequence_number)
         fleet.on_heartbeat(without_task, now, answered=True)
-        command_planner.for_heartbeat(machine, without_task, now)
+        command_planner.for_heartbeat(machine, without_task, now, may_start=True)
     assert not fleet.is_schedulable(machine)
     assert attempt.state is not OperationState.SUPERSEDED  # a late command may still start it
     fleet.on_heartbeat(heartbeat(9, tasks=[running(attempt.number)]), 107.0, answered=True)
--- a/petrelthread/fleet/test_task_reconciler.py
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -79,7 +79,7 @@
     assert job.live_attempts[0].machine == machine.index
     assert 0 not in list(job.pending_tasks())
     assert fleet.cluster_state.usage.machine(machine.index).attempts == 1
-    assert command_planner.for_heartbeat(machine, with_task, 101.0) == []
+    assert command_planner.for_heartbeat(machine, with_task, 101.0, may_start=True) == []
 
 
 def test_finished_task_that_is_not_recorded_yet_is_not_startable(fleet: Fleet) -> None:
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -45,7 +45,7 @@
         self.fleet.on_start_sent(self.attempt, self.machine, AT)
 
     def give_up(self) -> None:
-        self.starts.on_unanswered(self.attempt)
+        self.starts.on_no_response(self.attempt)
 
     def cancel(self) -> None:
         self.fleet.cluster_state.set_final_status(self.attempt.job.id, JobStatus.CANCELLED)
@@ -62,7 +62,7 @@
 def test_start_is_held_from_sending_until_its_response(sent: SentStart) -> None:
     assert sent.holds()
     assert not sent.starts.count()
-    sent.starts.on_answered(sent.attempt)
+    sent.starts.on_acknowledged(sent.attempt)
     assert not sent.holds()
     assert not sent.starts.has_any_on(sent.machine.index)
 
@@ -145,10 +145,14 @@
     assert sent.starts.may_answer(sent.machine.index, EPOCH, AT + LEASE_GRACE_S + 1.0)
     stopped = heartbeat(3, tasks=[exited(sent.attempt.number, "stopped")])
     sent.fleet.on_heartbeat(stopped, AT + 2.0, answered=True)
-    assert not CommandPlanner(sent.fleet).for_heartbeat(sent.machine, stopped, AT + 2.0)
+    assert not CommandPlanner(sent.fleet).for_heartbeat(
+        sent.machine, stopped, AT + 2.0, may_start=True
+    )
     later = heartbeat(4, EPOCH + 1, tasks=stopped.tasks)
     sent.fleet.on_heartbeat(later, AT + 3.0, answered=True)
-    commands = CommandPlanner(sent.fleet).for_heartbeat(sent.machine, later, AT + 3.0)
+    commands = CommandPlanner(sent.fleet).for_heartbeat(
+        sent.machine, later, AT + 3.0, may_start=True
+    )
     assert [type(command) for command in commands] == [protocol.ForgetCommand]
 
 
@@ -161,7 +165,7 @@
         without_task = heartbeat(sequence_number, token)
         sent.fleet.on_heartbeat(without_task, AT + sequence_number, answered=True)
         assert not CommandPlanner(sent.fleet).for_heartbeat(
-            sent.machine, without_task, AT + sequence_number
+            sent.machine, without_task, AT + sequence_number, may_start=True
         )
         assert bool(sent.fleet.attempts_on(sent.machine)) is held
 
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -11,8 +11,8 @@
              the worker does not list it; that way is not tracked here, because a worker drops an
              answer that comes too late.
 acknowledged The worker responds to the direct command, or the command never left:
-             ``CommandDispatcher`` calls ``on_answered``.
-unanswered   No response in time: ``CommandDispatcher`` calls ``on_unanswered`` [UNKNOWN]. The
+             ``CommandDispatcher`` calls ``on_acknowledged``.
+unanswered   No response in time: ``CommandDispatcher`` calls ``on_no_response`` [UNKNOWN]. The
              command may arrive at any time, even much later.
 listed       A heartbeat lists the attempt: ``TaskReconciler`` calls ``on_listed`` [CONFIRMED].
              While it is listed, a late command has no effect. After a failover it is [UNKNOWN]
@@ -157,14 +157,14 @@
             attempt, machine, token, now, renewed_at, self._state_current_as_of()
         )
 
-    def on_answered(self, attempt: Attempt) -> None:
+    def on_acknowledged(self, attempt: Attempt) -> None:
         """Drop a start: the worker has responded to the command, or it never left."""
         starts = self._by_machine.get(attempt.machine, {})
         starts.pop(key_of(attempt), None)
         if not starts:
             self._by_machine.pop(attempt.machine, None)
 
-    def on_unanswered(self, attempt: Attempt) -> None:
+    def on_no_response(self, attempt: Attempt) -> None:
         """The dispatcher waits no longer for a response; the command may arrive at any time."""
         start = self._by_machine.get(attempt.machine, {}).get(key_of(attempt))
         if start is not None:
--- a/petrelthread/fleet/worker_lease.py
+++ b/petrelthread/fleet/worker_lease.py
@@ -3,7 +3,7 @@
 A worker holds a lease that an answer to one of its heartbeats renews, and kills its tasks when the
 lease expires. It measures the lease with its own clock, from the moment at which it sent the
 heartbeat. Seen from here, the lease therefore ends at the latest ``longest_lease_s`` after the
-answer was given; all arithmetic with leases is in this module.
+answer was given.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
         Args:
             registry: It knows the epoch of this leader and when that began.
             lease_s: The duration of a worker's lease.
-            lease_grace_s: How long a former leader may answer workers after losing the lead.
+            lease_grace_s: How long a former leader may answer workers after losing the leadership.
         """
         self._registry = registry
         self._lease_s = lease_s
@@ -55,7 +55,7 @@
         if machine.acknowledged_epoch != self._registry.epoch:
             renewed_at = max(self._former_leader_silent_at(), renewed_at)
         begun_at = max(renewed_at, machine.incarnation_seen_at)
-        return begun_at + self._lease_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
+        return begun_at + longest_lease_s(self._lease_s)
 
     def may_be_renewed_until(self, machine: Machine, now: float) -> float:
         """Until when answers given so far, by this leader or a former one, may renew the lease."""
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -1,14 +1,7 @@
 """Starts whose direct command is held on its way, from milliseconds to several minutes.
 
-A machine's reports arrived and were answered all the while, but a command sent straight to it at
-59.127 s reached it only at 134.130 s ("told to start wk-626828/5 attempt 1048634 (token 1,
-session 1)"). The job had been cancelled at 61.808 s, and ``cancel_s`` was 37 s. The leader had
-remembered since 61 s that the command might still come: the start of this task alone was not
-superseded when the job's other starts were ("operation superseded" stands at 62.029, 62.159, 62.293
-and 63.091 s for four of them, and for task 5 only at 134.633 s, after it had been started and
-stopped). But nothing took back the right to carry it out. The leader never changed, so the token
-that the command bore stayed the highest; the machine's lease was renewed, so its session stayed the
-same.
+A held command must not start a task after its job's cancellation, although the leader lives on and
+the machine's heartbeats are answered. docs/incidents/ran-cancelled-wk-626828.md has the incident.
 """
 
 from __future__ import annotations
@@ -25,7 +18,9 @@
 from tests.simulation import NODES, Simulation, job
 
 CANCELLED = "wk-000001"
-SETTLED_S = 6.0  # after the cancellation: two seconds of waiting for the answer, two reports, gaps
+SETTLED_S = (
+    6.0  # after the cancellation: two seconds of waiting for the answer, two heartbeats, rounds
+)
 
 
 def now() -> float:
@@ -39,14 +34,12 @@
     def __init__(self, simulation: Simulation, delay_s: float) -> None:
         """``delay_s``: how long each command is on its way."""
         self.sent_at: list[float] = []
-        self.others: DeliveryRule = lambda *request: (
-            0.0,
-            False,
-        )  # what becomes of all other requests
+        # The delivery of all other requests.
+        self.others: DeliveryRule = lambda *request: (0.0, False)
         self._delay_s = delay_s
-        simulation.net.delivery_rule = self._fate
+        simulation.net.delivery_rule = self._delivery
 
-    def _fate(
+    def _delivery(
         self, source: str, address: str, method: str, target: str, body: Any
     ) -> tuple[float, bool] | None:
         orders = body["orders"] if target == "/do" else []
@@ -115,8 +108,8 @@
 # ---- together with other faults ------------------------------------------------------------------
 
 
-async def machines_stop_hearing(simulation: Simulation, held: HeldStarts, leader: str) -> None:
-    """Their reports arrive, the answers don't reach them."""
+async def machines_receive_nothing(simulation: Simulation, held: HeldStarts, leader: str) -> None:
+    """Their heartbeats arrive, the answers don't reach them."""
     simulation.net.not_receiving |= set(simulation.cloud.machines)
     await asyncio.sleep(simulation.random.uniform(5.0, 40.0))
     simulation.net.not_receiving.clear()
@@ -189,7 +182,7 @@
 
 
 FAULTS = [
-    machines_stop_hearing,
+    machines_receive_nothing,
     writes_are_lost,
     writes_are_unanswered,
     refused_then_outage,
