--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -1,8 +1,9 @@
 """Names and texts that leave the process are still in the sources, letter for letter.
 
 ``golden/outer_names.txt`` lists them, one a line: fields and values of messages, stored keys and
-fields, settings, flags, environment variables, and texts of the administration API. Add what a
-change brings; a listed name goes only together with the interface that uses it.
+fields, settings, flags, environment variables, texts of the administration API, and phrases of the
+log lines that operators are told to alert on. Add what a change brings; a listed name goes only
+together with the interface that uses it.
 """
 
 from __future__ import annotations
