--- a/petrelthread/scheduling/bin_packing.py
+++ b/petrelthread/scheduling/bin_packing.py
@@ -1,7 +1,8 @@
-"""Bin packing: which machine each pending task goes to in one round.
+"""Bin packing: the choice of a machine for each pending task in one round.
 
-The machine rule: a fitting machine that caches the image, else the one with most free, in the
-task's zone if it has one. Among several that cache the image, the one with most free.
+The machine rule: among the fitting machines that cache the image, the one with the most free cores;
+if none caches it, the fitting machine with the most free cores. If the task has a zone, only
+machines of this zone count. Of equal machines, the one with the most free memory is chosen.
 """
 
 from __future__ import annotations
@@ -19,24 +20,24 @@
 
 
 class JobPlacement(NamedTuple):
-    """Tasks of one job that were placed: their machines, one entry for each task."""
+    """The machines of the tasks of one job that were placed, one entry per task."""
 
     job_index: int
     machines: list[int]
 
 
 class PlacementResult(NamedTuple):
-    """What one round has placed.
+    """The placements of one round.
 
-    ``next_start`` is the position of the first request that was not examined because the time was
-    up; 0 when all were.
+    ``resume_position`` is the position of the first request that was not examined because the time
+    budget ran out; 0 if all were examined.
     """
 
     placed: list[JobPlacement]
-    next_start: int
+    resume_position: int
 
     def task_counts(self) -> Counter[int]:
-        """How many tasks of each job were placed, by job index."""
+        """Number of placed tasks, by job index."""
         counts: Counter[int] = Counter()
         for placement in self.placed:
             counts[placement.job_index] += len(placement.machines)
@@ -47,25 +48,25 @@
     requests: list[PlacementRequest],
     index: CapacityIndex,
     quotas: list[QuotaHeadroom],
-    start: int = 0,
+    first_position: int = 0,
     expired: Callable[[], bool] = lambda: False,
 ) -> PlacementResult:
-    """Place the requests in order, taking capacity and quota headroom as it goes.
+    """Place the requests in order; each placement takes capacity and quota headroom.
 
     Args:
-        requests: in the order in which they are served.
+        requests: placement requests in scheduling order.
         index: the machines that may be used; changed in place.
         quotas: what each team may still use, by team index; changed in place.
-        start: position of the request to begin with; those before it come last.
-        expired: whether the time is up; the first request is served in any case.
+        first_position: position of the request to place first; those before it come last.
+        expired: whether the time budget has run out; the first request is always examined.
     """
     placed: list[JobPlacement] = []
     count = len(requests)
-    start = start % count if count else 0
+    first_position = first_position % count if count else 0
     for step in range(count):
         if step and expired():
-            return PlacementResult(placed, (start + step) % count)
-        request = requests[(start + step) % count]
+            return PlacementResult(placed, (first_position + step) % count)
+        request = requests[(first_position + step) % count]
         machines = _place_job(request, index, quotas[request.team])
         if machines:
             placed.append(JobPlacement(request.job_index, machines))
@@ -73,19 +74,19 @@
 
 
 class _PlacementInProgress:
-    """The tasks of one request as they are placed, with account of all that they take."""
+    """The placement of one request; tracks what it takes until commit or rollback."""
 
     def __init__(
         self, request: PlacementRequest, index: CapacityIndex, quota: QuotaHeadroom
     ) -> None:
         self.request = request
-        self.machines: list[int] = []  # one entry for each task
+        self.machines: list[int] = []  # one entry per task
         self.full_zones: set[int] = set()
         self._index = index
         self._quota = quota
         self._zone_headroom = zone_headroom(request)
         self._headroom_left: dict[int, int] = {}  # by zone
-        self._before: dict[int, MachineCapacity] = {}  # copies of the machines that got tasks
+        self._machines_before: dict[int, MachineCapacity] = {}  # copies made before the first task
         self._quota_before = (quota.cores, quota.accelerators)
         self._occupancy_before = request.occupancy.copy()
 
@@ -98,9 +99,9 @@
         return zone not in self.full_zones
 
     def take(self, machine: MachineCapacity) -> None:
-        """Count one task in everything that later decisions of the round consult."""
-        if machine.machine_index not in self._before:
-            self._before[machine.machine_index] = machine.copy()
+        """Count one task on the machine, in the quota and in the job's occupancy."""
+        if machine.machine_index not in self._machines_before:
+            self._machines_before[machine.machine_index] = machine.copy()
         self._headroom_left[machine.zone] -= 1
         machine.take(self.request)
         self._quota.take(self.request, 1)
@@ -108,14 +109,14 @@
         self.machines.append(machine.machine_index)
 
     def commit(self) -> list[int]:
-        """Keep what was placed. Returns the machines, one entry for each task."""
-        for machine_index in self._before:
+        """Keep the placement. Returns the machines, one entry per task."""
+        for machine_index in self._machines_before:
             self._index.reindex(self._index.machines[machine_index])
         return self.machines
 
     def roll_back(self) -> list[int]:
-        """Give back all that was placed."""
-        for machine_index, before in self._before.items():
+        """Undo the placement. Returns an empty list of machines."""
+        for machine_index, before in self._machines_before.items():
             self._index.machines[machine_index].restore(before)
         self._quota.cores, self._quota.accelerators = self._quota_before
         self.request.occupancy.restore(self._occupancy_before)
@@ -128,37 +129,37 @@
         return []
     zone = None
     if request.single_zone:
-        whole_job = request._replace(pending=max(request.pending, request.zone_tasks))
+        whole_job = request._replace(pending=max(request.pending, request.zone_choice_tasks))
         zone = choose_zone(request, index, quota.max_tasks(whole_job))
         if zone is None:
             return []
-    job = _PlacementInProgress(request, index, quota)
+    placement = _PlacementInProgress(request, index, quota)
     if request.spread_machines:
-        _place_replicas(job, index, max_tasks, zone)
+        _place_replicas(placement, index, max_tasks, zone)
     else:
-        _place_tasks(job, index, max_tasks, zone)
-    if request.all_or_nothing and len(job.machines) < request.pending:
-        return job.roll_back()
-    return job.commit()
+        _place_tasks(placement, index, max_tasks, zone)
+    if request.all_or_nothing and len(placement.machines) < request.pending:
+        return placement.roll_back()
+    return placement.commit()
 
 
 def _place_replicas(
-    job: _PlacementInProgress, index: CapacityIndex, max_tasks: int, zone: int | None
+    placement: _PlacementInProgress, index: CapacityIndex, max_tasks: int, zone: int | None
 ) -> None:
-    """Place replicas one by one where the fewest of the job are, then by the machine rule.
+    """Place each replica where the job has the fewest replicas, then by the machine rule.
 
-    The zone comes before the machine if the job asks for spreading over zones. By the machine rule
-    alone all replicas would go to one machine that caches their image.
+    If the job spreads over zones, the count in the zone comes before that on the machine. By the
+    machine rule alone, all replicas would go to one machine that caches their image.
     """
-    request, occupancy = job.request, job.request.occupancy
-    # Besides the machines with replicas, only the first ``max_tasks`` of a group can be chosen.
+    request, occupancy = placement.request, placement.request.occupancy
+    # Only machines with replicas and the best ``max_tasks`` others of a group can be chosen.
     count = max_tasks + len(occupancy.machines)
     candidates = index.best_candidates(request, count, zone)
-    while len(job.machines) < max_tasks:
+    while len(placement.machines) < max_tasks:
         fitting = [
             machine
             for machine in candidates
-            if job.is_zone_open(machine.zone) and machine.fits(request)
+            if placement.is_zone_open(machine.zone) and machine.fits(request)
         ]
         if not fitting:
             break
@@ -170,34 +171,35 @@
                 machine.placement_key(request),
             ),
         )
-        job.take(best)
+        placement.take(best)
 
 
 def _place_tasks(
-    job: _PlacementInProgress, index: CapacityIndex, max_tasks: int, zone: int | None
+    placement: _PlacementInProgress, index: CapacityIndex, max_tasks: int, zone: int | None
 ) -> None:
     """Place tasks by the machine rule.
 
-    A machine that gets a task caches the image from then on, so it gets more until it is full.
+    A machine that receives a task caches the image from then on, so it receives further tasks until
+    it is full.
     """
-    request = job.request
+    request = placement.request
     heap = [
         (machine.placement_key(request), machine.machine_index)
         for machine in index.cached_candidates(request, max_tasks, zone)
     ]
     heapq.heapify(heap)
-    uncached = index.uncached_candidates(request, zone, job.full_zones)
-    while len(job.machines) < max_tasks:
+    uncached = index.uncached_candidates(request, zone, placement.full_zones)
+    while len(placement.machines) < max_tasks:
         if not heap:
             candidate = next(uncached, None)
             if candidate is None:
                 return
             heap.append((candidate.placement_key(request), candidate.machine_index))
         machine = index.machines[heap[0][1]]
-        if not job.is_zone_open(machine.zone):
+        if not placement.is_zone_open(machine.zone):
             heapq.heappop(heap)
             continue
-        job.take(machine)
+        placement.take(machine)
         if machine.fits(request):
             heapq.heapreplace(heap, (machine.placement_key(request), machine.machine_index))
         else:
--- a/petrelthread/scheduling/claim_applier.py
+++ b/petrelthread/scheduling/claim_applier.py
@@ -1,4 +1,4 @@
-"""What a committed claim changes here: state, dispatch of commands, and the debug log."""
+"""Applies committed claims: updates the cluster state, sends commands and logs the starts."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         validator: StartValidator,
         obsolete_keys: list[str],
     ) -> None:
-        """``obsolete_keys``: keys to be deleted; those that a claim deleted are removed."""
+        """Initialize the applier; it removes deleted keys from ``obsolete_keys``."""
         self._cluster_state = cluster_state
         self._fleet = fleet
         self._dispatcher = dispatcher
@@ -47,7 +47,7 @@
         self._start_log = StartLog(cluster_state, fleet)
 
     def apply(self, claim: RoundClaim, now: float) -> None:
-        """Apply a committed claim; ``now``: when its round was decided, in event loop time."""
+        """Apply a committed claim; ``now`` is the event loop time of the round's decision."""
         for key in claim.deleted_keys:
             self._apply_deletion(key)
         self._cluster_state.machines_by_failing_job.update(claim.suspects)
@@ -57,7 +57,7 @@
             self._cluster_state.apply_finished_tasks(
                 claim.finished_tasks_number, claim.finished_tasks_record
             )
-            self._forget_recorded_tasks(claim.finished_tasks_record)
+            self._drop_recorded_tasks(claim.finished_tasks_record)
         launched = self._apply_starts(claim)
         stopped = [attempt for attempt in claim.stops if attempt.stop_requested_at]
         for attempt in stopped:
@@ -65,8 +65,8 @@
         self._dispatcher.send(launched, stopped)
 
     def _apply_starts(self, claim: RoundClaim) -> list[Attempt]:
-        """The attempts to be sent."""
-        unsent = self._no_longer_allowed(claim)
+        """Add the attempts that the claim starts. Returns those to send."""
+        unsent = self._invalidated_starts(claim)
         launched: list[Attempt] = []
         for number, record in claim.records:
             launched += self._cluster_state.apply_round(
@@ -77,16 +77,16 @@
             self._start_log.write(attempt)
         return launched
 
-    def _no_longer_allowed(self, claim: RoundClaim) -> set[TaskKey]:
-        """Job index and task of starts that events during the claim forbid.
+    def _invalidated_starts(self, claim: RoundClaim) -> set[TaskKey]:
+        """Job index and task of starts that became invalid while the claim was in flight.
 
-        A heartbeat may have shown the task elsewhere, or the machine may have been lost. Such a
-        start is on record and is not sent.
+        For example, a heartbeat has shown the task on another machine, or the machine was lost.
+        Such a start stays recorded but is not sent.
         """
         refused = self._validator.check(claim.starts).refused
         for start, violation in refused:
             log.info(
-                "start of %s/%d on %s is not sent: %s since it was decided",
+                "start of %s/%d on %s is not sent; it became invalid after the decision: %s",
                 start.job.id,
                 start.task,
                 start.machine.name,
@@ -100,7 +100,8 @@
             self._cluster_state.release(attempt, done=True)
         self._cluster_state.set_final_status(job.id, protocol.JobStatus.DONE)
         log.debug(
-            "done %s (%s of %s): %d tasks, %.1f s after it was accepted, %.1f s at best",
+            "job %s (class %s, team %s) done: %d tasks, %.1f s after acceptance, estimated minimum"
+            " %.1f s",
             job.id,
             self._cluster_state.names.job_classes.name(job.job_class),
             self._cluster_state.names.teams.name(job.team),
@@ -120,8 +121,8 @@
         elif key in self._obsolete_keys:
             self._obsolete_keys.remove(key)
 
-    def _forget_recorded_tasks(self, record: FinishedTasksRecord) -> None:
-        """Drop finished tasks that are on record now."""
+    def _drop_recorded_tasks(self, record: FinishedTasksRecord) -> None:
+        """Drop finished tasks that the committed record contains."""
         for finished in record:
             job = self._cluster_state.jobs_by_id[finished.job_id]
             tasks = self._fleet.finished_tasks.get(job.index)
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -1,4 +1,4 @@
-"""Builds the transaction of one round, within the limits of the state service."""
+"""Builds the transaction of one round within the limits of the state service."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 )
 from petrelthread.store import KEY_PREFIX
 
-CONDITIONS_PER_OPERATION = 4  # that a transaction may have for each operation that it may have
-FENCING_CONDITIONS = 3  # of each claim: leader key, epoch and its marker
-RESERVED_OPERATIONS = 3  # of a transaction that completed jobs leave to the rest of a round
-VALUE_SIZE_SHARE = 0.85  # of the largest value that the state service stores
+CONDITIONS_PER_OPERATION = 4  # conditions that a transaction may have per allowed operation
+FENCING_CONDITIONS = 3  # conditions of every claim: on leader key, epoch and marker
+RESERVED_OPERATIONS = 3  # operations that completed jobs leave for the rest of a transaction
+VALUE_SIZE_SHARE = 0.85  # share of the maximum value size of the state service that is used
 KIB = 1024
 
 
 class _FinishedWork(NamedTuple):
-    """Finished tasks that are not on record yet."""
+    """Finished tasks that are not recorded in the state service yet."""
 
-    completed: list[Job]
-    tasks_by_job: dict[str, list[int]]  # by id, of jobs that are not complete
+    completed: list[Job]  # jobs all of whose tasks have finished
+    tasks_by_job: dict[str, list[int]]  # by job id; only jobs with unfinished tasks
 
 
 class ClaimBuilder:
-    """Puts together the claim of one round: ends, starts, stops, suspects and deletions."""
+    """Builds the claim of one round: finished tasks, starts, stops, suspects and deletions."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         """Initialize the builder.
 
         Args:
-            limits: of the state service.
+            limits: limits of the state service.
             cluster_state: jobs, attempts and records.
             fleet: finished tasks and failures of jobs.
-            validator: makes the last check of the starts.
-            next_record_number: draws a number that was never used.
-            spare_writes: how many writes deletions may take at a time of the event loop's clock.
-            obsolete_keys: settled records besides those of rounds, to be deleted; others add to it.
+            validator: validates the starts before they are claimed.
+            next_record_number: draws an unused record number.
+            spare_writes: returns how many writes deletions may use, given an event loop time.
+            obsolete_keys: keys of further settled records to delete; provisioning adds to it.
         """
         self._cluster_state = cluster_state
         self._fleet = fleet
@@ -72,7 +72,7 @@
         self._max_operations = limits.txn_ops
 
     def build(self, starts: list[Start], stops: list[Attempt], now: float) -> RoundClaim:
-        """The claim for what a round decided; its starts are validated here."""
+        """Build the claim for the decisions of a round; validates the starts."""
         claim = RoundClaim(stops=stops)
         self._add_finished(claim)
         self._add_starts_and_stops(claim, starts)
@@ -84,7 +84,7 @@
 
     def _add_finished(self, claim: RoundClaim) -> None:
         finished = self._collect_finished()
-        # One key records that a job is complete, and stands for all its tasks.
+        # The final status of a complete job covers all its tasks.
         claim.completed = finished.completed[: max(1, self._max_operations - RESERVED_OPERATIONS)]
         for job in claim.completed:
             key = KeyKind.FINAL_STATUS.key(job.id)
@@ -99,7 +99,7 @@
             claim.put(claim.marker, claim.finished_tasks_record)
 
     def _collect_finished(self) -> _FinishedWork:
-        """What finished and is not on record; forgets what is settled by other means."""
+        """Collect unrecorded finished tasks; discard those that need no record any more."""
         finished = _FinishedWork([], {})
         for job_index, reported in list(self._fleet.finished_tasks.items()):
             job = self._cluster_state.jobs[job_index]
@@ -107,8 +107,8 @@
                 del self._fleet.finished_tasks[job_index]
                 self._release_exited(job)
                 continue
-            # Another leader, or a claim of ours that was given up, may have recorded some of them.
-            # Counted twice, they would make the job complete too soon.
+            # Another leader, or an abandoned claim of this one, may have recorded some of these
+            # tasks. Counting a task twice would complete the job too soon.
             tasks = {task for task in reported if job.task_states[task] != TASK_FINISHED}
             if not tasks and job.done_count < job.task_count:
                 del self._fleet.finished_tasks[job_index]
@@ -133,8 +133,8 @@
         postponed = len(starts) < len(admitted)
         max_records = max(1, self._max_operations - len(claim.operations))
         packed = self._pack(starts, claim.stops)
-        # A gang starts as a whole: one whose starts would not all be in this claim waits for the
-        # next round. Without it the records are packed anew.
+        # A gang starts as a whole: if the claim can't hold all its starts, the gang waits for the
+        # next round, and the remaining starts are packed again.
         while split := _split_gangs(packed, starts, max_records):
             starts = [start for start in starts if start.job.id not in split]
             packed, postponed = self._pack(starts, claim.stops), True
@@ -149,11 +149,11 @@
         claim.has_more = postponed or len(claim.records) < len(packed)
 
     def _require_unfinished(self, starts: list[Start], absent_keys: list[str]) -> list[Start]:
-        """Make the claim depend on each job being neither complete nor cancelled.
+        """Make the claim conditional on each job being neither complete nor cancelled.
 
-        A cancellation may be confirmed by another controller before the watch cache here shows it,
-        and from then on no task of the job may start. Adds to ``absent_keys``; starts of jobs for
-        which one transaction has no condition left are not returned.
+        Another controller may confirm a cancellation before the watch cache of this one shows it,
+        and from then on no task of the job may start. Adds the keys to ``absent_keys``. Starts of
+        jobs for which the transaction has no condition left are not returned.
         """
         available = (
             CONDITIONS_PER_OPERATION * self._max_operations - len(absent_keys) - FENCING_CONDITIONS
@@ -171,7 +171,7 @@
         entries += [Placement(STOP_MARKER, 0, attempt.job.id, attempt.task) for attempt in stops]
         return pack_round_records(entries, self._max_value_bytes)
 
-    # ---- the rest -----------------------------------------------------------------------------
+    # ---- suspects and deletions ---------------------------------------------------------------
 
     def _add_suspects(self, claim: RoundClaim) -> None:
         suspects = self._fleet.job_failures.new_suspects()
@@ -181,9 +181,9 @@
             claim.put(KeyKind.FAILING_JOB.key(job_id), suspects[job_id])
 
     def _add_deletions(self, claim: RoundClaim, now: float) -> None:
-        """Delete settled records, as far as the write rate has capacity to spare.
+        """Delete settled records as far as the write rate has spare capacity.
 
-        A claim that waits for its turn behind deletions would keep tasks waiting.
+        A claim that is queued behind deletions would delay the start of tasks.
         """
         cluster_state = self._cluster_state
         settled = [KeyKind.ROUND.key(number) for number in cluster_state.settled_rounds()]
@@ -203,7 +203,7 @@
 
 
 def _started_tasks(packed: list[RoundRecord]) -> set[tuple[str, int]]:
-    """Job id and task of each start in packed records."""
+    """Job id and task index of each start in the packed records."""
     return {
         (tasks_of_job.job_id, task)
         for record in packed
@@ -215,11 +215,12 @@
 
 
 def _split_gangs(packed: list[RoundRecord], starts: list[Start], max_records: int) -> set[str]:
-    """Ids of gangs of which some tasks stand in records beyond the first ``max_records``.
+    """Ids of gangs with starts in records after the first ``max_records``.
 
-    A gang that alone is too large for a claim is not among them: it can't start otherwise.
+    A gang that is alone and still too large for one claim is not included: it can't start
+    otherwise.
     """
-    beyond = {job_id for job_id, _ in _started_tasks(packed[max_records:])}
+    postponed_jobs = {job_id for job_id, _ in _started_tasks(packed[max_records:])}
     gangs = {start.job.id for start in starts if start.job.is_gang}
     is_alone = len({start.job.id for start in starts}) == 1
-    return set() if is_alone else beyond & gangs
+    return set() if is_alone else postponed_jobs & gangs
--- a/petrelthread/scheduling/completion_objectives.py
+++ b/petrelthread/scheduling/completion_objectives.py
@@ -9,7 +9,7 @@
 
 
 class CompletionObjectives:
-    """By when the objectives of each job class want a job to be complete."""
+    """The completion times that the objectives of each job class require."""
 
     def __init__(self, objectives: Sequence[Objective], names: InternedNames) -> None:
         self._within_s: dict[int, list[float]] = {}  # by class: seconds after acceptance
@@ -22,7 +22,7 @@
                 self._deadline_factors.setdefault(job_class, []).append(objective.times)
 
     def times(self, job: Job) -> tuple[float, ...]:
-        """The objectives of the job in wall clock seconds, the soonest first."""
+        """The job's objective completion times in wall clock seconds, ascending."""
         if job.deadline_s is not None:
             factors = self._deadline_factors.get(job.job_class, [1.0])
             within_s = [job.deadline_s * factor for factor in factors]
@@ -31,5 +31,5 @@
         return tuple(job.accepted_at + seconds for seconds in sorted(within_s))
 
     def has_any(self, job: Job) -> bool:
-        """Whether the job has a deadline or its class an objective."""
+        """Whether the job has a deadline or its class has a completion objective."""
         return job.deadline_s is not None or job.job_class in self._within_s
--- a/petrelthread/scheduling/job_order.py
+++ b/petrelthread/scheduling/job_order.py
@@ -1,8 +1,8 @@
-"""The order in which jobs are served: guarantees, then priority, then the start that is due first.
+"""The scheduling order of jobs: by guarantee, then priority, then the latest start time.
 
-Among jobs of one priority, two things make them wait for each other: the limit of their team and,
-when more is requested than there are machines, the cores of all. ``on_time_selection`` decides
-which of them are meant to be complete on time.
+Jobs of one priority compete for the quota of their team and, when jobs request more than all
+machines have, for the cores of the cluster. ``on_time_selection`` decides which of them are planned
+to be complete on time.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from petrelthread.scheduling.on_time_selection import CapacityTimeline, reachable_objectives
 from petrelthread.scheduling.queue_entry import QueuedJob, QueueEntry
 
-UNREACHABLE_OBJECTIVE_S = 1e6  # from now: the due time of a job that reaches no objective
-LATE_JOB_SLACK_S = 70.0  # in which a late job that outlasts the backlog has to start
-MAX_START_DELAY_S = 150.0  # after its acceptance a job is overdue if it has not started
+UNREACHABLE_OBJECTIVE_S = 1e6  # from now; due time of a job that can reach no objective
+LATE_JOB_SLACK_S = 70.0  # from now; latest start of a late job that outlasts the backlog
+MAX_START_DELAY_S = 150.0  # after its acceptance; a job not started by then is overdue
 
-MIN_SHARED_CORES = 1.0  # left for other jobs when services use all that there is
+MIN_SHARED_CORES = 1.0  # assumed for other jobs if services request all cores
 
 
 class _GroupKey(NamedTuple):
-    """Jobs of one group are ordered among themselves; the smallest key is served first."""
+    """Key of a group of jobs that are ordered among themselves; the smallest comes first."""
 
     not_guaranteed: bool
     negative_priority: int
@@ -34,18 +34,19 @@
     now: float,
     cores: float = math.inf,
 ) -> list[QueuedJob]:
-    """The jobs in the order in which they are served.
+    """The jobs in scheduling order.
 
-    Services come first, whatever their team's share, because every second without a replica is
-    lost. The others go by guarantee and priority, then by when they have to start to reach the
-    objective that they can reach. Jobs that reach none come last, the longest first. But none waits
-    longer than ``MAX_START_DELAY_S`` to start.
+    Services come first, regardless of their team's guarantee, because every second without a
+    replica is lost. The others are ordered by guarantee and priority, then by the latest start with
+    which they reach the objective that is planned for them. Jobs that can reach no objective come
+    last, the longest first. A job that has not started has a latest start of at most
+    ``MAX_START_DELAY_S`` after its acceptance and is overdue after that.
 
     Args:
         entries: all unfinished jobs.
         guarantees: cores and accelerators, by team index.
         now: wall clock time in seconds.
-        cores: of all machines together.
+        cores: total of all machines.
     """
     guaranteed = within_guarantee(entries, guarantees)
     services = sorted(
@@ -64,7 +65,7 @@
 
 
 def _groups(entries: list[QueueEntry], guaranteed: dict[int, bool]) -> list[list[QueueEntry]]:
-    """The jobs by guarantee and priority, those that are served first at the front."""
+    """Group the jobs by guarantee and priority, in scheduling order."""
     groups: dict[_GroupKey, list[QueueEntry]] = {}
     for entry in entries:
         key = _GroupKey(not guaranteed[entry.job_index], -entry.priority)
@@ -78,7 +79,7 @@
     timeline: CapacityTimeline,
     backlog_end: float,
 ) -> list[QueuedJob]:
-    """The jobs of one group by when they have to start."""
+    """Order the jobs of one group by their latest start."""
     now = timeline.now
     due_times = reachable_objectives(group, timeline)
     by_start: list[tuple[float, float, int, QueueEntry]] = []
@@ -97,12 +98,12 @@
 
 
 def _latest_start(entry: QueueEntry, due_at: float | None, now: float, backlog_end: float) -> float:
-    """When the job has to start; ``due_at`` is None if it reaches no objective."""
+    """When the job has to start at the latest; ``due_at`` is None if it reaches no objective."""
     if due_at is not None:
         start_by = due_at - entry.min_remaining_s
     elif now + entry.min_remaining_s > backlog_end:
-        # Served last, a job that its team's limit holds back would run on alone after the backlog.
-        # It goes on meanwhile, behind jobs that have to start sooner.
+        # In last place, a job limited by its team's quota would still run alone after the backlog
+        # is complete. It runs alongside the backlog instead, behind jobs with an earlier start.
         start_by = now + LATE_JOB_SLACK_S
     else:
         start_by = now + UNREACHABLE_OBJECTIVE_S - entry.min_remaining_s
--- a/petrelthread/scheduling/placement_request.py
+++ b/petrelthread/scheduling/placement_request.py
@@ -1,4 +1,4 @@
-"""What one job requests of a scheduling round."""
+"""The placement request of one job in a scheduling round."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class PlacementRequest(NamedTuple):
-    """The pending tasks of one job, all alike, and where they may run.
+    """The pending tasks of one job, all with the same needs, and where they may run.
 
     Attributes:
-        job_index: the job.
+        job_index: index of the job.
         team: index of its team.
-        task_count: tasks of the whole job.
-        pending: tasks to be placed by this request.
-        cores: of one task, like ``accelerators`` and ``ram_gb``.
+        task_count: number of tasks of the whole job.
+        pending: number of tasks to place with this request.
+        cores: needed by one task, like ``accelerators`` and ``ram_gb``.
         image: index of the image that its tasks run.
         machine_types: indexes of the machine types that it may use; None for all.
         zone: the only zone that it may use; None for all.
         spot_allowed: whether it may use spot machines.
         single_zone: all tasks have to be in one zone.
         spread_zones: at most half of the tasks may be in one zone.
-        occupancy: shared by all requests of the job; placement keeps it up to date.
+        occupancy: tasks by zone and machine; shared by the job's requests, updated by placement.
         excluded_machines: machines on which the job failed.
-        all_or_nothing: a gang; all pending tasks are placed in this round, or none.
-        spread_machines: a service; the loss of one machine is to take few of its replicas.
-        zone_tasks: of a single-zone job, the number of tasks for which its zone is chosen where
-            this request is for fewer of them.
+        all_or_nothing: whether the job is a gang: the round places all pending tasks or none.
+        spread_machines: whether the job is a service; losing one machine should lose few replicas.
+        zone_choice_tasks: number of tasks for which the zone of a single-zone job is chosen if
+            ``pending`` is smaller.
     """
 
     job_index: int
@@ -48,10 +48,10 @@
     excluded_machines: frozenset[int] = frozenset()
     all_or_nothing: bool = False
     spread_machines: bool = False
-    zone_tasks: int = 0
+    zone_choice_tasks: int = 0
 
     def fits_into(self, cores: float, accelerators: float, ram_gb: float) -> bool:
-        """Whether so much capacity holds one task."""
+        """Whether one task fits into the given capacity."""
         return (
             cores + CAPACITY_TOLERANCE >= self.cores
             and accelerators + CAPACITY_TOLERANCE >= self.accelerators
--- a/petrelthread/scheduling/queue_entry.py
+++ b/petrelthread/scheduling/queue_entry.py
@@ -1,4 +1,4 @@
-"""Entries of the job queue: what the order is made from, and what it yields."""
+"""Entries of the job queue: the input of the job order and its result."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class QueueEntry(NamedTuple):
-    """What the job order takes into account of one unfinished job.
+    """One unfinished job as input of the job order.
 
     Attributes:
-        job_index: the job.
+        job_index: index of the job.
         team: index of its team.
-        priority: a larger number is served first.
+        priority: jobs with a larger number come first.
         accepted_at: wall clock time in seconds.
-        objective_times: when it should be complete, in wall clock seconds: the soonest objective
-            first, then those that still count after it.
-        critical_path_s: how long it would still take if only its team's limit held it back.
+        objective_times: completion times of its objectives in wall clock seconds, ascending; if one
+            can't be reached, the next one counts.
+        critical_path_s: how long it would still take if only its team's quota limited it.
         requested_cores: cores of the whole job, finished tasks included.
-        requested_accelerators: likewise.
-        run_s: run time of one task.
-        tail_s: how much longer the longest of many tasks may take.
-        parallel_cores: cores that it can use at once.
-        remaining_core_s: core seconds left in all its tasks.
+        requested_accelerators: accelerators of the whole job, finished tasks included.
+        run_s: estimated run time of one task.
+        tail_s: how much longer than ``run_s`` the longest of many tasks may take.
+        parallel_cores: cores that it can use at the same time.
+        remaining_core_s: core seconds of work left in all its tasks.
         started: whether any of its tasks is live or finished.
-        is_service: it runs until it is cancelled, so it has no end to be ordered by.
+        is_service: whether it runs until it is cancelled, so that it has no completion time.
     """
 
     job_index: int
@@ -43,18 +43,18 @@
 
     @property
     def min_remaining_s(self) -> float:
-        """The time that the job takes at least from now."""
+        """Minimum time from now until the job is complete."""
         return max(self.critical_path_s, self.run_s) + self.tail_s
 
 
 class QueuedJob(NamedTuple):
-    """One job in the order in which jobs are served.
+    """One job in scheduling order.
 
     Attributes:
-        job_index: the job.
+        job_index: index of the job.
         guaranteed: whether it lies within its team's guarantee.
-        due_at: the objective that it is meant to reach, in wall clock seconds.
-        overdue: whether it should have started; one task of it is served before all else.
+        due_at: time of the objective that it is planned to reach, in wall clock seconds.
+        overdue: whether it should have started; one of its tasks is placed before all others.
     """
 
     job_index: int
--- a/petrelthread/scheduling/round_claim.py
+++ b/petrelthread/scheduling/round_claim.py
@@ -1,4 +1,4 @@
-"""What one round writes in one transaction, and what follows once it is committed."""
+"""The transaction of one round, with the data needed to apply it once it is committed."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 @dataclass
 class RoundClaim:
-    """The transaction of one round with its meaning.
+    """The transaction of one round and the decisions that it records.
 
     Attributes:
-        stops: attempts that the round stops.
-        operations: the changes that the transaction makes.
-        absent_keys: keys that must not exist, without the common prefix.
-        marker: the key that proves that the transaction was applied, without the common prefix.
-        completed: jobs that the transaction records as complete.
+        stops: attempts to stop.
+        operations: operations of the transaction.
+        absent_keys: keys that must not exist when it is applied, without the common prefix.
+        marker: key whose existence proves that it was applied, without the common prefix.
+        completed: jobs that are recorded as complete.
         finished_tasks_number: number of the record of finished tasks; 0 if there is none.
         finished_tasks_record: finished tasks of jobs that are not complete.
-        records: starts and stops.
-        starts: those that ``records`` hold.
-        suspects: by job id, the machines on which a job failed that is suspect from now on.
-        deleted_keys: settled records that the transaction deletes, without the common prefix.
-        has_more: whether some of the round's starts have to wait for the next round.
+        records: records of the starts and stops.
+        starts: the starts that ``records`` contain.
+        suspects: by id of a newly suspect job, the machines on which the job failed.
+        deleted_keys: keys of settled records to delete, without the common prefix.
+        has_more: whether some of the decided starts or stops have to wait for a later round.
     """
 
     stops: list[Attempt]
@@ -51,5 +51,5 @@
     has_more: bool = False
 
     def put(self, key: str, value: object) -> None:
-        """Add the write of one key, given without the common prefix."""
+        """Add an operation that writes a key, which is given without the common prefix."""
         self.operations.append(protocol.PutOperation(KEY_PREFIX + key, value))
--- a/petrelthread/scheduling/round_planner.py
+++ b/petrelthread/scheduling/round_planner.py
@@ -1,4 +1,4 @@
-"""What one round decides: which tasks start where, and which are preempted."""
+"""Planning of one round: which tasks start on which machines, and which are preempted."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class RoundDecision(NamedTuple):
-    """What one round decides.
+    """The starts and preemptions that one round decides.
 
-    ``is_complete`` is False if the time was not enough to examine all requests.
+    ``is_complete`` is False if the time budget ran out before all requests were examined.
     """
 
     starts: list[Start]
@@ -38,11 +38,11 @@
 
 @dataclass
 class _RoundRequests:
-    """What one round is asked to place.
+    """The placement requests of one round.
 
     Attributes:
-        overdue: one task each of jobs that should have started; these come before all else.
-        regular: all other tasks, in the order in which jobs are served.
+        overdue: requests for one task of each overdue job; they are placed before all others.
+        regular: requests for all other tasks, in scheduling order.
         guaranteed: by job index, whether the job lies within its team's guarantee.
     """
 
@@ -52,10 +52,9 @@
 
 
 class RoundPlanner:
-    """Decides rounds; changes nothing of the cluster but its own reservations.
+    """Plans rounds; it starts, stops and claims nothing itself.
 
-    ``reserved_machines`` holds, by the index of a job that should have started, the machine that is
-    reserved for it.
+    ``reserved_machines`` maps the index of an overdue job to the machine that is reserved for it.
     """
 
     def __init__(
@@ -65,22 +64,22 @@
         self._fleet = fleet
         self._view = view
         self._preemptions = PreemptionPlanner(settings, cluster_state, fleet)
-        self._next_start = 0  # position of the request with which the next round begins
+        self._resume_position = 0  # position of the request that the next round places first
         self.reserved_machines: dict[int, int] = {}
 
     def fail_over(self) -> None:
-        """Forget what earlier rounds left to later ones."""
-        self._next_start = 0
+        """Discard the reservations and the resume position of the previous epoch."""
+        self._resume_position = 0
         self.reserved_machines.clear()
 
     def decide(self, now: float, budget_s: float) -> RoundDecision:
-        """What to start, and what to preempt.
+        """Decide which tasks to start and which attempts to preempt.
 
         Args:
-            now: time of the event loop in seconds.
-            budget_s: after this time no further request is placed in this round.
+            now: event loop time in seconds.
+            budget_s: time after which the round places no further request.
         """
-        requests = self._requests(now)
+        requests = self._collect_requests(now)
         if not requests.overdue and not requests.regular:
             return RoundDecision([], [])
         capacity = self._view.free_capacity()
@@ -100,8 +99,8 @@
             capacity.usable.withhold(machine_index)
         requests = round_requests.overdue + round_requests.regular
         result = self._place(requests, capacity, quotas, budget_s)
-        starts = self._starts(result.placed)
-        if result.next_start:
+        starts = self._assign_tasks(result.placed)
+        if result.resume_position:
             return RoundDecision(starts, [], is_complete=False)
         placed_round = PlacedRound(
             requests=requests,
@@ -116,14 +115,14 @@
 
     # ---- requests -----------------------------------------------------------------------------
 
-    def _requests(self, now: float) -> _RoundRequests:
-        """What the open jobs want placed, in the order in which they are served."""
+    def _collect_requests(self, now: float) -> _RoundRequests:
+        """Collect the placement requests of the open jobs, in scheduling order."""
         requests = _RoundRequests()
         for queued in self._view.job_order():
             job = self._cluster_state.jobs[queued.job_index]
             requests.guaranteed[queued.job_index] = queued.guaranteed
             if job.is_gang and job.live_attempts:
-                continue  # the rest of the gang ends first, then all its tasks start together
+                continue  # a gang starts as a whole, after all its live attempts have ended
             if now < job.retry_at:
                 continue
             request = self._view.placement_request(job)
@@ -140,16 +139,16 @@
             if not job.live_attempts:  # one task at a time shows whether the job can run at all
                 requests.regular.append(request._replace(pending=1))
         elif overdue:
-            # One task comes before all else, the others when it is the job's turn. Both requests
-            # share the occupancy of the job.
+            # One task is placed before all other jobs, the other tasks at the job's position in
+            # the scheduling order. Both requests share the occupancy of the job.
             pending = request.pending
-            requests.overdue.append(request._replace(pending=1, zone_tasks=pending))
+            requests.overdue.append(request._replace(pending=1, zone_choice_tasks=pending))
             requests.regular.append(request._replace(pending=pending - 1))
         else:
             requests.regular.append(request)
 
     def _quota_headroom(self, usage: list[TeamUsage]) -> list[QuotaHeadroom]:
-        """What each team may still use, by team index."""
+        """Compute the quota that each team has left, by team index."""
         return [
             QuotaHeadroom(team.most_cores - used.cores, team.most_accelerators - used.accelerators)
             for team, used in zip(self._view.teams, usage, strict=False)
@@ -168,7 +167,7 @@
         for job_index, machine_index in self.reserved_machines.items():
             if previous.get(job_index) != machine_index:
                 log.info(
-                    "machine %s is reserved for %s, which is overdue and fits nowhere",
+                    "machine %s is reserved for overdue job %s, whose tasks fit on no machine now",
                     self._fleet.machines[machine_index].name,
                     self._cluster_state.jobs[job_index].id,
                 )
@@ -182,21 +181,21 @@
         quotas: list[QuotaHeadroom],
         budget_s: float,
     ) -> PlacementResult:
-        """Place on usable machines, and then what is left on surplus machines."""
+        """Place requests on usable machines, then the unplaced tasks on surplus machines."""
         clock = asyncio.get_running_loop().time
         stop_at = clock() + budget_s
         result = place_requests(
-            requests, capacity.usable, quotas, self._next_start, lambda: clock() >= stop_at
+            requests, capacity.usable, quotas, self._resume_position, lambda: clock() >= stop_at
         )
-        self._next_start = result.next_start
-        if result.next_start or not capacity.surplus.machines:
+        self._resume_position = result.resume_position
+        if result.resume_position or not capacity.surplus.machines:
             return result
         remaining = _remaining_requests(requests, result.task_counts())
         on_surplus = place_requests(remaining, capacity.surplus, quotas)
         return PlacementResult(result.placed + on_surplus.placed, 0)
 
-    def _starts(self, placed: list[JobPlacement]) -> list[Start]:
-        """Which task of each job goes to each of its machines."""
+    def _assign_tasks(self, placed: list[JobPlacement]) -> list[Start]:
+        """Assign a pending task of the job to each machine that was chosen for the job."""
         startable: dict[int, Iterator[int]] = {}
         starts = []
         for job_index, machines in placed:
@@ -211,7 +210,7 @@
         return starts
 
     def _startable_tasks(self, job: Job) -> Iterator[int]:
-        """Pending tasks, but for those whose end is reported and not on record yet."""
+        """Pending tasks, without those whose end is reported but not recorded yet."""
         finished = self._fleet.finished_tasks.get(job.index, set())
         return (task for task in job.pending_tasks() if task not in finished)
 
@@ -219,9 +218,9 @@
 def _remaining_requests(
     requests: list[PlacementRequest], placed: Counter[int]
 ) -> list[PlacementRequest]:
-    """What was not placed of jobs without rules about where their tasks are relative to others.
+    """Requests for the unplaced tasks of jobs without constraints between their tasks.
 
-    ``placed``: by job index, how many tasks were placed.
+    ``placed``: by job index, the number of tasks placed so far.
     """
     return [
         request._replace(pending=request.pending - placed[request.job_index])
--- a/petrelthread/scheduling/run_time_estimates.py
+++ b/petrelthread/scheduling/run_time_estimates.py
@@ -1,4 +1,4 @@
-"""Run times of tasks, estimated from their owners' estimates and from earlier tasks."""
+"""Estimates of task run times, from the users' estimates and observed run times."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from petrelthread.state import Job
 
-DEFAULT_SPREAD = 0.3  # standard deviation of run time over estimate, until some are observed
-MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of an observed ratio of run time over estimate
-MAX_WEIGHT = 50  # observations that the averages of a class go back at most
-PRIOR_WEIGHT = 2  # observations that the initial values count for
-TAIL_DEVIATIONS = 1.5  # by which the longest of a job's tasks is expected to exceed the average
-MIN_RUN_S = 0.5
+DEFAULT_SPREAD = 0.3  # initial standard deviation of the ratio of run time to estimate
+MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of an observed ratio of run time to estimate
+MAX_COUNTED_OBSERVATIONS = 50  # caps the weight of earlier observations in an average
+PRIOR_WEIGHT = 2  # number of observations that the initial values count as
+# Standard deviations by which a job's longest task is expected to exceed the average run time.
+TAIL_DEVIATIONS = 1.5
+MIN_RUN_S = 0.5  # lower bound of the expected run time
 
 
 class RunTimeEstimates:
-    """How far the run times of each job class deviate from their owners' estimates."""
+    """Averages and variances of the ratio of run time to estimate, by job class."""
 
     def __init__(self) -> None:
         self._ratio: dict[int, float] = {}
@@ -23,12 +24,12 @@
         self._observations: dict[int, int] = {}
 
     def learn(self, job: Job, ran_s: float) -> None:
-        """Take the run time of one finished task into account."""
+        """Update the estimates of the job's class with the run time of a finished task."""
         if job.estimated_run_s <= 0:
             return
         job_class = job.job_class
         ratio = min(MAX_RATIO, max(MIN_RATIO, ran_s / job.estimated_run_s))
-        count = min(MAX_WEIGHT, self._observations.get(job_class, 0) + 1)
+        count = min(MAX_COUNTED_OBSERVATIONS, self._observations.get(job_class, 0) + 1)
         self._observations[job_class] = count
         average = self._ratio.get(job_class, 1.0)
         self._ratio[job_class] = average + (ratio - average) / (count + PRIOR_WEIGHT)
@@ -43,7 +44,7 @@
         return max(MIN_RUN_S, job.estimated_run_s * self._ratio.get(job.job_class, 1.0))
 
     def tail_s(self, job: Job) -> float:
-        """How much longer the last of a job's tasks is likely to run; 0 for a single task."""
+        """How much longer than expected a job's longest task may run; 0 for a single task."""
         if job.task_count <= 1:
             return 0.0
         variance = self._variance.get(job.job_class, DEFAULT_SPREAD**2)
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Rounds of the leader: decide, claim, and send only what the claim has recorded."""
+"""Rounds of the leader: decide, claim, and dispatch only what the claim has recorded."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 log = logging.getLogger(__name__)
 
-MIN_RECORD_NUMBERS_LEFT = 4096  # of an epoch's record numbers: the leader then asks for a new epoch
+MIN_RECORD_NUMBERS_LEFT = 4096  # with fewer left, the leader resigns, which ends its epoch
 DEFAULT_ROUND_INTERVAL_S = 0.25
 DEFAULT_ROUND_BUDGET_S = 0.05
 
 
 class Scheduler:
-    """Decides, claims and dispatches one round after the other; only the leader runs it.
+    """Decides, claims and dispatches one round after the other; runs on the leader only.
 
     Attributes:
-        obsolete_keys: keys of settled records that a later claim deletes; others add to it.
+        obsolete_keys: keys of settled records that a later claim deletes; provisioning adds to it.
         claim_builder: builds the claims of rounds.
-        round_interval_s: the least time between two rounds.
-        round_budget_s: how long one round places requests.
-        wake: set when there may be something to decide.
+        round_interval_s: the minimum time between two rounds.
+        round_budget_s: how long one round may spend on placing requests.
+        wake: set when the next round may have something to decide.
     """
 
     def __init__(
@@ -57,9 +57,9 @@
             claims: writes claims.
             dispatcher: sends commands to workers.
             view: capacity and job order.
-            refresh: brings the cluster state up to date from the state service; False if it can't
-                be reached.
-            spare_writes: how many writes deletions may take at a time of the event loop's clock.
+            refresh: updates the cluster state from the state service; returns False if the service
+                is unreachable.
+            spare_writes: returns how many writes deletions may use, given an event loop time.
         """
         self._cluster_state = cluster_state
         self._fleet = fleet
@@ -67,8 +67,8 @@
         self._view = view
         self._refresh = refresh
         self._last_record_number = 0
-        # Records whose claim is not answered yet, with their entries once a watch has shown them.
-        self._records_under_claim: dict[int, list[Any] | None] = {}
+        # Records of the claim in flight, each with its entries if a watch has already shown it.
+        self._records_in_flight: dict[int, list[Any] | None] = {}
         self._planner = RoundPlanner(settings, cluster_state, fleet, view)
         self.obsolete_keys: list[str] = []
         validator = StartValidator(cluster_state, fleet, settings.cluster.teams)
@@ -90,17 +90,17 @@
 
     @property
     def reserved_machines(self) -> dict[int, int]:
-        """By the index of an overdue job that fits nowhere: the machine reserved for it."""
+        """The machine reserved for each overdue job that fits on no machine, by job index."""
         return self._planner.reserved_machines
 
     def fail_over(self, epoch: int) -> None:
-        """Start anew as the leader of an epoch."""
+        """Reset the scheduler at the start of a new epoch."""
         self._last_record_number = epoch_base_number(epoch)
         self._planner.fail_over()
         self.obsolete_keys.clear()
 
     def next_record_number(self) -> int:
-        """A number that was never used: no other leader uses the numbers of this epoch."""
+        """Draw an unused record number; each epoch has its own range of numbers."""
         self._last_record_number += 1
         return self._last_record_number
 
@@ -110,14 +110,14 @@
         return last - self._last_record_number
 
     def decide(self, now: float) -> RoundDecision:
-        """What to start, and what to preempt; ``now`` in event loop time."""
+        """Decide what to start and what to preempt; ``now`` is the event loop time."""
         decision = self._planner.decide(now, self.round_budget_s)
         if not decision.is_complete:
             self.wake.set()  # the next round examines the other requests
         return decision
 
     async def run_round(self, now: float) -> bool:
-        """Decide and claim once. Returns whether there is more to write at once."""
+        """Decide and claim one round. Returns whether another round should follow at once."""
         stops = attempts_cut_short(self._fleet, self._view.estimates, now)
         decision = self.decide(now)
         claim = self.claim_builder.build(decision.starts, stops + decision.preemptions, now)
@@ -125,7 +125,7 @@
             return False
         outcome, failed_keys = await self._claim(claim)
         log.debug(
-            "round %s of epoch %d: claim %s; %d starts, %d stops, decided at %.3f s",
+            "round %s of epoch %d: claim %s; %d starts, %d stops, decided at loop time %.3f s",
             claim.marker,
             self._fleet.epoch,
             outcome.value,
@@ -136,44 +136,47 @@
         if outcome is ClaimOutcome.FENCED:
             return False
         if outcome is ClaimOutcome.CONFLICT:
-            # A job was cancelled meanwhile, or an earlier, unanswered claim of ours was applied:
-            # only the state service can say which.
-            log.info("claim conflicts on %s", ", ".join(failed_keys))
+            # Either a job was cancelled during the claim, or an earlier claim of this leader was
+            # applied without an answer. Only the state service knows which.
+            log.info("claim rejected; keys with failed conditions: %s", ", ".join(failed_keys))
             return await self._refresh()
         self._applier.apply(claim, now)
         return claim.has_more or bool(self._fleet.finished_tasks)
 
     async def _claim(self, claim: RoundClaim) -> tuple[ClaimOutcome, tuple[str, ...]]:
-        self._records_under_claim = dict.fromkeys((record.number for record in claim.records), None)
+        self._records_in_flight = dict.fromkeys((record.number for record in claim.records), None)
         try:
             outcome, failed_keys = await self._claims.claim(
                 claim.operations, claim.marker, tuple(claim.absent_keys)
             )
         finally:
-            shown, self._records_under_claim = self._records_under_claim, {}
+            entries_by_number, self._records_in_flight = self._records_in_flight, {}
         if outcome is not ClaimOutcome.COMMITTED:
-            for number, entries in shown.items():
+            for number, entries in entries_by_number.items():
                 if entries is not None:
-                    self._apply_given_up(number, entries, outcome)
+                    self._apply_unsent_record(number, entries, outcome)
         return outcome, failed_keys
 
     def defer_record(self, number: int, entries: list[Any]) -> bool:
-        """Take note of a round's record that a watch shows.
+        """Keep a round's record that a watch shows while its claim is in flight.
 
         Returns:
-            True if its claim is still unanswered here: the answer then decides what becomes of it.
-            The record must not be taken for a late copy of a settled round, which would cancel the
-            round just before its claim is known to be committed.
+            True if the claim is in flight: its result then determines how the record is applied.
+            Treating the record as a late copy of a settled round instead would cancel the round
+            just before its claim is known to be committed.
         """
-        if number not in self._records_under_claim:
+        if number not in self._records_in_flight:
             return False
-        self._records_under_claim[number] = entries
+        self._records_in_flight[number] = entries
         return True
 
-    def _apply_given_up(self, number: int, entries: list[Any], outcome: ClaimOutcome) -> None:
-        """Apply a record that exists although its claim was given up and nothing of it was sent."""
+    def _apply_unsent_record(self, number: int, entries: list[Any], outcome: ClaimOutcome) -> None:
+        """Apply a record that a watch has shown although its claim did not end as committed.
+
+        Nothing of the record was sent.
+        """
         if outcome is ClaimOutcome.FENCED:
-            # As any other controller applies it.
+            # The epoch of the claim has ended: the record is applied as on any other controller.
             self._cluster_state.apply_round(number, decode_round(entries))
         else:
             self._cluster_state.settle_unsent_round(number)
--- a/petrelthread/scheduling/start_log.py
+++ b/petrelthread/scheduling/start_log.py
@@ -1,4 +1,4 @@
-"""Debug log of starts, with what is needed to judge each placement afterwards."""
+"""Debug log of starts, with the data needed to evaluate each placement afterwards."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class StartLog:
-    """Writes one line for each start, with machines, zones and classes by name."""
+    """Writes one line per start, with the names of machine, zones and job class."""
 
     def __init__(self, cluster_state: ClusterState, fleet: Fleet) -> None:
         self._cluster_state = cluster_state
         self._fleet = fleet
 
     def write(self, attempt: Attempt) -> None:
-        """Log the machine, the time that the job waited, and the zones of its other tasks."""
+        """Log the machine, the time since the job was accepted, and its other tasks' zones."""
         if not log.isEnabledFor(logging.DEBUG):
             return
         machine = self._fleet.machines[attempt.machine]
         cached = attempt.job.image in machine.images
         log.debug(
-            "start %s/%d (%s) on %s after %.2f s, image %s; attempt %d of epoch %d, zone %s,"
-            " other tasks of the job in %s",
+            "start %s/%d (class %s) on %s, %.2f s after acceptance, image %s; attempt %d, epoch %d,"
+            " zone %s, other live tasks of the job by zone: %s",
             attempt.job.id,
             attempt.task,
             self._cluster_state.names.job_classes.name(attempt.job.job_class),
@@ -45,7 +45,7 @@
         return self._cluster_state.names.zones.name(machine.zone)
 
     def _other_zones(self, attempt: Attempt) -> str:
-        """Where the job's other live tasks are: "zone: tasks, ..." or "none"."""
+        """The number of the job's other live tasks in each zone: "zone: count, ..." or "none"."""
         counts: dict[str, int] = {}
         for other in attempt.job.live_attempts.values():
             if other is not attempt and not other.has_exited:
--- a/petrelthread/scheduling/start_validator.py
+++ b/petrelthread/scheduling/start_validator.py
@@ -1,9 +1,9 @@
 """Validation of a round's starts before they are claimed.
 
-Every rule that a start can break is checked here again, for all starts of the round together with
-the live attempts. The check reads the attempts themselves and none of the data that the decision
-was made from. A start that would break a rule is left out and logged as an error, so that a fault
-in the decision shows in tests and logs and never reaches a machine.
+Every rule that a start can violate is checked here again, for all starts of the round together
+with the live attempts. The check reads the attempts themselves and none of the data on which the
+decision was based. A start that violates a rule is left out of the claim and logged as an error, so
+that a fault in the decision appears in tests and logs but never reaches a machine.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Violation(Enum):
-    """Why a start may not be claimed."""
+    """The reason why a start may not be claimed."""
 
     JOB_ENDED = "the job is over or cancelled"
     NOT_PENDING = "the task has an attempt already, or is finished"
@@ -40,7 +40,7 @@
 
 
 class Start(NamedTuple):
-    """One start that a round has decided."""
+    """The decision to start a task on a machine."""
 
     job: Job
     task: int
@@ -48,14 +48,14 @@
 
 
 class RefusedStart(NamedTuple):
-    """A start that was left out, and why."""
+    """A start that may not be claimed, and the reason."""
 
     start: Start
     violation: Violation
 
 
 class ValidatedStarts(NamedTuple):
-    """The starts of a round, in order: those that may be claimed and those that may not."""
+    """The starts of a round, in order: those that may be claimed, and those that may not."""
 
     admitted: list[Start]
     refused: list[RefusedStart]
@@ -63,7 +63,10 @@
 
 @dataclass
 class _AdmittedUsage:
-    """What the starts admitted so far add to the live attempts."""
+    """Tasks, zones and resources of the starts admitted so far.
+
+    ``occupancy`` includes the live attempts of each job, the other fields don't.
+    """
 
     tasks: set[TaskKey] = field(default_factory=set)
     occupancy: dict[int, JobOccupancy] = field(default_factory=dict)  # by job index
@@ -72,20 +75,20 @@
 
 
 class StartValidator:
-    """Checks the starts of a round against the rules of placement, quota and single execution."""
+    """Checks starts against the rules of placement, quota and single execution of a task."""
 
     def __init__(self, cluster_state: ClusterState, fleet: Fleet, teams: Sequence[Team]) -> None:
-        """``teams``: in the order of the cluster state's team indexes."""
+        """Initialize the validator; ``teams`` is ordered by team index of the cluster state."""
         self._cluster_state = cluster_state
         self._fleet = fleet
         self._teams = teams
 
     def admit(self, starts: Sequence[Start]) -> ValidatedStarts:
-        """Check the starts of a decision; a refused one is a fault and logged as an error."""
+        """Check decided starts; a refused one is a scheduling fault and logged as an error."""
         validated = self.check(starts)
         for start, violation in validated.refused:
             log.error(
-                "start of %s/%d on %s left out: %s",
+                "start of %s/%d on %s left out of the claim: %s",
                 start.job.id,
                 start.task,
                 start.machine.name,
@@ -94,18 +97,18 @@
         return validated
 
     def check(self, starts: Sequence[Start]) -> ValidatedStarts:
-        """Check the starts against the present state."""
+        """Check the starts against the current state."""
         usage = _AdmittedUsage()
         admitted: list[Start] = []
         refused: list[RefusedStart] = []
         for start in starts:
             violation = self._violation(start, usage)
             if violation is None:
-                self._count(start, usage)
+                self._add_usage(start, usage)
                 admitted.append(start)
             else:
                 refused.append(RefusedStart(start, violation))
-        broken_gangs = {r.start.job.index for r in refused if r.start.job.is_gang}
+        broken_gangs = {item.start.job.index for item in refused if item.start.job.is_gang}
         if broken_gangs:
             split = [start for start in admitted if start.job.index in broken_gangs]
             refused += [RefusedStart(start, Violation.GANG) for start in split]
@@ -177,7 +180,7 @@
             usage.occupancy[job.index] = occupancy
         return occupancy
 
-    def _count(self, start: Start, usage: _AdmittedUsage) -> None:
+    def _add_usage(self, start: Start, usage: _AdmittedUsage) -> None:
         job, task, machine = start
         usage.tasks.add((job.index, task))
         usage.cores[job.team] = usage.cores.get(job.team, 0.0) + job.cores
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -1,4 +1,4 @@
-"""Starts that events between decision and dispatch forbid, and the records of a claim."""
+"""Starts invalidated between decision and dispatch, and the records of a claim."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def heartbeat_of(machine: str, zone: str, running: list[str]) -> protocol.WorkerHeartbeat:
-    """A heartbeat of a worker of this epoch; ``running``: its tasks, as attempt 7."""
+    """A worker's heartbeat in this epoch that shows the tasks in ``running`` as attempt 7."""
     legs = [{"leg": leg, "try": 7, "status": "running"} for leg in running]
     body: dict[str, Any] = {
         "perch": machine,
@@ -54,10 +54,10 @@
 
 
 @cluster_test
-async def test_a_task_that_a_heartbeat_shows_elsewhere_is_not_sent(
+async def test_start_is_not_sent_if_heartbeat_shows_task_on_other_machine(
     cluster: Cluster,
 ) -> None:
-    """The committed record must not replace the attempt that the heartbeat has just shown."""
+    """The committed record must not replace the attempt that the heartbeat has shown."""
     cluster.machine(1, "a")
     other = cluster.machine(2, "b", taken_cores=4.0)
     accepted = cluster.accept(job(JOB, 2, cores=1.0))
@@ -69,7 +69,7 @@
 
 
 @cluster_test
-async def test_a_single_zone_job_shown_in_another_zone_is_not_sent(
+async def test_single_zone_start_is_not_sent_if_heartbeat_shows_other_zone(
     cluster: Cluster,
 ) -> None:
     cluster.machine(1, "a")
@@ -82,7 +82,7 @@
 
 
 @cluster_test
-async def test_nothing_is_sent_for_a_machine_or_a_job_lost_during_the_claim(
+async def test_start_is_not_sent_if_machine_or_job_is_lost_during_claim(
     cluster: Cluster,
 ) -> None:
     lost = cluster.machine(1, "a")
@@ -101,23 +101,23 @@
     assert lost.index not in cluster.cluster_state.attempts_by_machine
 
 
-def gang_of(cluster: Cluster, job_id: str, machines: range) -> list[Start]:
+def gang_starts(cluster: Cluster, job_id: str, machines: range) -> list[Start]:
     spec = job(job_id, len(machines), kind="group", team="guest")
     accepted = cluster.accept(spec)
     return [Start(accepted, n, cluster.machine(m, "a")) for n, m in enumerate(machines)]
 
 
-@pytest.mark.parametrize("ends_first", [False, True], ids=["starts alone", "after ends of jobs"])
+@pytest.mark.parametrize("jobs_done", [False, True], ids=["starts alone", "after ends of jobs"])
 @cluster_test
-async def test_a_gang_is_recorded_whole_or_not_at_all(cluster: Cluster, ends_first: bool) -> None:
-    """The limits of a transaction must not split the records of a gang."""
-    if ends_first:  # operations that leave fewer to the records
+async def test_claim_records_whole_gang_or_nothing(cluster: Cluster, jobs_done: bool) -> None:
+    """The size limits of a transaction must not split a gang over two claims."""
+    if jobs_done:  # completed jobs leave fewer operations for the records
         for number in range(6):
             done = cluster.accept(job(f"wk-5{number:05d}", 1))
             cluster.fleet.finished_tasks[done.index] = {0}
     cluster.builder._max_value_bytes = 250  # a gang needs several records of this size
-    first = gang_of(cluster, "wk-000001", range(1, 10))
-    second = gang_of(cluster, "wk-000002", range(11, 60))
+    first = gang_starts(cluster, "wk-000001", range(1, 10))
+    second = gang_starts(cluster, "wk-000002", range(11, 60))
     claim = cluster.builder.build(first + second, [], now())
     recorded: dict[str, int] = {}
     for start in claim.starts:
@@ -134,7 +134,7 @@
 
 
 @cluster_test
-async def test_record_numbers_of_an_epoch_are_below_those_of_the_next(cluster: Cluster) -> None:
+async def test_record_numbers_of_epoch_are_below_those_of_next_epoch(cluster: Cluster) -> None:
     scheduler = cluster.scheduler
     assert scheduler.record_numbers_left() == RECORDS_PER_EPOCH - 1
     for left in range(RECORDS_PER_EPOCH - 2, RECORDS_PER_EPOCH - 12, -1):
--- a/petrelthread/scheduling/test_job_order.py
+++ b/petrelthread/scheduling/test_job_order.py
@@ -1,4 +1,4 @@
-"""The job order: its rules, a comparison with a slow plain model, and the longest wait."""
+"""The job order: its rules, a comparison with exhaustive search, and the maximum wait."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     objective_times: list[float],
     critical_path_s: float,
 ) -> QueueEntry:
-    """A job that has started and whose team's limit alone holds it back."""
+    """A job that has started and is limited by its team's quota alone."""
     return QueueEntry(
         job_index,
         team,
@@ -35,7 +35,7 @@
     )
 
 
-def test_the_order_is_guarantee_then_priority_then_deadline() -> None:
+def test_order_is_by_guarantee_then_priority_then_latest_start() -> None:
     jobs = [
         started_entry(0, 0, 1, 10.0, [500.0], 5.0)._replace(remaining_core_s=2000.0),  # 200 s
         started_entry(1, 1, 2, 11.0, [400.0], 5.0),
@@ -49,8 +49,8 @@
     assert [queued.guaranteed for queued in order] == [True] + [False] * 5
 
 
-def test_a_late_job_longer_than_the_backlog_goes_on_meanwhile() -> None:
-    """Served last, it would run on alone on nearly empty machines after all else is done."""
+def test_late_job_that_outlasts_backlog_runs_alongside_it() -> None:
+    """In last place, it would run alone on nearly empty machines after the backlog is done."""
     jobs = [
         started_entry(0, 0, 1, 0.0, [300.0], 5.0)._replace(remaining_core_s=1000.0),
         started_entry(1, 1, 1, 0.0, [100.0], 216.0)._replace(remaining_core_s=500.0),
@@ -61,7 +61,7 @@
     assert [queued.job_index for queued in order] == [3, 1, 0, 2]
 
 
-def test_the_longest_job_of_a_team_gives_way_and_gets_its_next_objective() -> None:
+def test_longest_job_of_team_is_dropped_to_its_next_objective() -> None:
     jobs = [
         started_entry(0, 0, 1, 0.0, [100.0, 200.0], 80.0),
         started_entry(1, 0, 1, 1.0, [101.0, 201.0], 40.0),
@@ -72,7 +72,7 @@
     assert [queued.job_index for queued in order] == [2, 1, 0]  # 0 before 1 would make 1 late
 
 
-def test_a_guarantee_counts_the_earlier_jobs_of_the_team() -> None:
+def test_earlier_jobs_of_team_count_against_its_guarantee() -> None:
     jobs = [
         started_entry(0, 0, 1, 1.0, [], 1.0)._replace(requested_cores=6.0),
         started_entry(1, 0, 1, 2.0, [], 1.0)._replace(requested_cores=4.0),  # not with the first
@@ -99,7 +99,7 @@
 
 
 def are_on_time(jobs: tuple[QueueEntry, ...]) -> bool:
-    """Whether all of them are on time if they are served by due time."""
+    """Whether all of them are on time if they are scheduled by due time."""
     end = 0.0
     for job in sorted(jobs, key=lambda job: job.objective_times[0]):
         end += job.remaining_core_s / CORES
@@ -109,7 +109,7 @@
 
 
 def max_on_time(jobs: list[QueueEntry]) -> int:
-    """The slow plain model: every choice of jobs."""
+    """The maximum number of jobs on time, found by exhaustive search."""
     return max(
         size
         for size in range(len(jobs) + 1)
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_as_many_jobs_are_on_time_as_the_shared_cores_allow(block: int) -> None:
+def test_number_of_jobs_on_time_is_maximal(block: int) -> None:
     cases_with_late_jobs = 0
     for seed in range(block * 50, block * 50 + 50):
         jobs = random_jobs(seed)
@@ -130,8 +130,8 @@
     assert cases_with_late_jobs > 10  # the cases are not trivial
 
 
-def test_a_large_job_gives_way_to_many_small_ones_of_other_teams() -> None:
-    """Ordered by slack alone, all of them would be late together."""
+def test_large_job_is_dropped_for_many_small_jobs_of_other_teams() -> None:
+    """If jobs were ordered by slack alone, all of them would be late."""
     small = [
         QueueEntry(index, index, 1, 1.0, (100.0, 300.0), 10.0, 50.0, 0.0, 10.0, 0.0, 10.0, 200.0)
         for index in range(4)
@@ -142,14 +142,14 @@
     assert order[-1].due_at == 299.0
 
 
-def test_a_job_that_gave_way_starts_all_the_same() -> None:
-    """Otherwise the largest job could wait for as long as small ones keep coming."""
+def test_dropped_job_becomes_overdue_after_max_start_delay() -> None:
+    """Without a limit, the largest job would wait as long as small jobs keep arriving."""
     guarantees = [Guarantee(0.0, 0.0)] * 2
     large = QueueEntry(0, 0, 1, 0.0, (90.0,), 60.0, 500.0, 0.0, 10.0, 0.0, 10.0, 5000.0)
     for now in (10.0, MAX_START_DELAY_S - 1, MAX_START_DELAY_S + 1, 200.0):
         fresh = QueueEntry(1, 1, 2, now, (now + 50.0,), 5.0, 50.0, 0.0, 5.0, 0.0, 10.0, 100.0)
         order = order_jobs([large, fresh], guarantees, now, CORES)
-        assert [queued.job_index for queued in order] == [1, 0]  # priority comes first,
-        assert order[1].overdue == (now > MAX_START_DELAY_S)  # but one task before all else
+        assert [queued.job_index for queued in order] == [1, 0]  # priority decides the order
+        assert order[1].overdue == (now > MAX_START_DELAY_S)  # one task is placed first
     started = large._replace(started=True)
     assert not order_jobs([started], guarantees, 200.0, CORES)[0].overdue
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Decisions of a whole round: several requests, several limits."""
+"""Decisions of whole rounds with several requests and several limits."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 @cluster_test
-def test_an_overdue_single_zone_job_starts_in_one_zone(cluster: Cluster) -> None:
-    """The job makes two requests, and both have to choose the same zone (incident wk-840897)."""
-    cluster.machine(1, "a", taken_cores=2.0)  # one more task fits: enough for the first request
-    cluster.machine(2, "b")  # two fit: most of the others
+def test_requests_of_overdue_single_zone_job_choose_same_zone(cluster: Cluster) -> None:
+    """The two requests of an overdue job have to choose the same zone (incident wk-840897)."""
+    cluster.machine(1, "a", taken_cores=2.0)  # one task fits: enough for the first request
+    cluster.machine(2, "b")  # two tasks fit: more than in zone a
     cluster.accept(job("wk-000001", 3, single_zone=True), waited_s=OVERDUE_S)
     zones = cluster.zones_of_starts("wk-000001")
     assert zones
@@ -23,7 +23,7 @@
 
 
 @cluster_test
-def test_an_overdue_spread_job_puts_half_its_tasks_in_a_zone_at_most(cluster: Cluster) -> None:
+def test_overdue_spread_job_starts_at_most_half_its_tasks_per_zone(cluster: Cluster) -> None:
     cluster.machine(1, "a")
     cluster.machine(2, "a")
     for tasks in (3, 4, 5):
@@ -34,8 +34,8 @@
 
 
 @cluster_test
-def test_tasks_are_preempted_for_all_missing_tasks_of_an_overdue_job(cluster: Cluster) -> None:
-    """The job makes two requests, and each start of the round counts for only one of them."""
+def test_overdue_job_preempts_for_all_its_missing_tasks(cluster: Cluster) -> None:
+    """An overdue job makes two requests, and each start counts for only one of them."""
     cluster.machine(1, "a")  # one task fits
     for number in (2, 3):
         machine = cluster.machine(number, "a", taken_cores=4.0)
@@ -50,8 +50,8 @@
 
 
 @cluster_test
-def test_a_finished_task_is_not_decided_again(cluster: Cluster) -> None:
-    """Its end is not on record yet, so the job counts it as pending."""
+def test_finished_task_that_is_not_recorded_is_not_started_again(cluster: Cluster) -> None:
+    """The job counts a finished task as pending until its end is recorded."""
     cluster.machine(1, "a")
     accepted = cluster.accept(job("wk-000001", 3, cores=1.0))
     cluster.fleet.finished_tasks[accepted.index] = {0, 2}
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -1,4 +1,4 @@
-"""Each rule that a start can break is caught before the claim, whatever the decision was."""
+"""Each start that violates a rule is refused before the claim, regardless of the decision."""
 
 from __future__ import annotations
 
@@ -25,35 +25,35 @@
         self.job: Job = cluster.accept(job("wk-000001", 4, cores=1.0, **spec))
 
     def refused(self, *starts: tuple[int, str]) -> list[tuple[int, Violation]]:
-        """What the check refuses of starts given as task and zone."""
+        """The violations that are found in starts given as task and zone."""
         decided = [Start(self.job, task, self.machines[zone]) for task, zone in starts]
         _, refused = self.cluster.check.admit(decided)
         return [(start.task, violation) for start, violation in refused]
 
-    def live(self, task: int, machine: Machine) -> None:
+    def add_live_attempt(self, task: int, machine: Machine) -> None:
         number = (EPOCH - 1) << 20
         self.cluster.cluster_state.add_attempt(number, self.job, task, machine.index, 1)
 
 
 @cluster_test
-def test_allowed_starts_pass(cluster: Cluster) -> None:
+def test_valid_starts_are_admitted(cluster: Cluster) -> None:
     case = Case(cluster)
     assert case.refused((0, A), (1, B), (2, A), (3, B)) == []
 
 
 @cluster_test
-def test_starts_of_one_round_are_checked_together_with_what_is_live(cluster: Cluster) -> None:
+def test_starts_of_round_are_checked_together_with_live_attempts(cluster: Cluster) -> None:
     case = Case(cluster, single_zone=True)
     assert case.refused((0, A), (1, B), (2, A)) == [(1, Violation.SINGLE_ZONE)]
-    case.live(3, case.machines[B])
+    case.add_live_attempt(3, case.machines[B])
     assert case.refused((0, A), (1, B)) == [(0, Violation.SINGLE_ZONE)]
 
 
 @cluster_test
-def test_a_spread_job_has_at_most_half_of_its_tasks_in_a_zone(cluster: Cluster) -> None:
+def test_spread_job_is_limited_to_half_its_tasks_per_zone(cluster: Cluster) -> None:
     case = Case(cluster, spread_zones=True)
     assert case.refused((0, A), (1, A), (2, A), (3, B)) == [(2, Violation.SPREAD)]
-    case.live(3, case.machines[A])
+    case.add_live_attempt(3, case.machines[A])
     assert case.refused((0, A), (1, A)) == [(1, Violation.SPREAD)]
 
 
@@ -62,18 +62,18 @@
     [("single_zone", Violation.SINGLE_ZONE), ("spread_zones", Violation.SPREAD)],
 )
 @cluster_test
-def test_a_task_whose_zone_is_unknown_may_be_in_any_zone(
+def test_task_in_unknown_zone_counts_in_every_zone(
     cluster: Cluster, flag: str, violation: Violation
 ) -> None:
-    """After a failover a machine is not listed yet, or it is not even known."""
+    """After a failover, a machine may not be listed yet or not known at all."""
     case = Case(cluster, **{flag: True})
     unlisted = cluster.fleet.get_or_add("host-000009", 0.0)
-    case.live(0, unlisted)
-    case.live(1, unlisted)
+    case.add_live_attempt(0, unlisted)
+    case.add_live_attempt(1, unlisted)
     assert case.refused((2, A)) == [(2, violation)]
     del cluster.fleet.machines[unlisted.index]
     assert case.refused((2, B)) == [(2, violation)]
-    # The decision itself starts nothing there either.
+    # The decision itself does not start a task there either.
     assert cluster.zones_of_starts("wk-000001") == []
 
 
@@ -86,14 +86,14 @@
     ],
 )
 @cluster_test
-def test_a_machine_that_the_job_does_not_allow_is_refused(
+def test_start_on_machine_not_allowed_by_job_is_refused(
     cluster: Cluster, spec: dict[str, Any], violation: Violation
 ) -> None:
     assert Case(cluster, **spec).refused((0, A)) == [(0, violation)]
 
 
 @cluster_test
-def test_a_team_stays_within_its_limit(cluster: Cluster) -> None:
+def test_start_beyond_team_limit_is_refused(cluster: Cluster) -> None:
     case = Case(cluster)
     limit = int(cluster.settings.cluster.teams[0].most_cores)
     other = cluster.accept(job("wk-000002", 1, cores=limit - 2.0))
@@ -102,9 +102,9 @@
 
 
 @cluster_test
-def test_a_task_is_started_once_and_only_while_it_is_wanted(cluster: Cluster) -> None:
+def test_duplicate_or_outdated_start_is_refused(cluster: Cluster) -> None:
     case = Case(cluster)
-    case.live(0, case.machines[A])
+    case.add_live_attempt(0, case.machines[A])
     cluster.cluster_state.mark_task_finished(case.job, 1)
     cluster.fleet.finished_tasks[case.job.index] = {2}
     assert case.refused((0, A), (1, A), (2, A), (3, A), (3, B)) == [
@@ -120,7 +120,7 @@
 
 
 @cluster_test
-def test_a_gang_starts_whole_or_not_at_all(cluster: Cluster) -> None:
+def test_refused_start_refuses_whole_gang(cluster: Cluster) -> None:
     case = Case(cluster, kind="group", single_zone=True)
     refused = case.refused((0, A), (1, B), (2, A))
     assert refused == [
@@ -131,7 +131,7 @@
 
 
 @cluster_test
-def test_a_refused_start_is_logged_and_not_claimed(
+def test_refused_start_is_logged_and_not_claimed(
     cluster: Cluster, caplog: pytest.LogCaptureFixture
 ) -> None:
     case = Case(cluster, single_zone=True)
