--- a/petrelthread/scheduling/preemption_candidates.py
+++ b/petrelthread/scheduling/preemption_candidates.py
@@ -1,4 +1,4 @@
-"""Running tasks that might be preempted, and those that are stopping already."""
+"""Running tasks that may be preempted, and attempts that are already stopping."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from petrelthread.scheduling.preemption_rules import Victim
 from petrelthread.state import Attempt, ClusterState, Job, OperationState
 
-STOP_TIMEOUT_S = 5.0  # a task that takes longer to stop is no longer waited for
+# An attempt whose stop was requested longer ago does not count as about to free its capacity.
+STOP_TIMEOUT_S = 5.0
 
 
 def _attempts(cluster_state: ClusterState) -> Iterator[Attempt]:
@@ -18,12 +19,12 @@
 
 
 def ran_s(attempt: Attempt, now: float) -> float:
-    """How long the attempt has been running, in seconds; 0 if it has not begun to run."""
+    """How long the attempt has been running, in seconds; 0 if it is not running yet."""
     return now - attempt.running_at if attempt.running_at else 0.0
 
 
 def stopping_attempts(cluster_state: ClusterState, now: float) -> list[Attempt]:
-    """Those that were told to stop a moment ago: their capacity is about to become free."""
+    """Attempts whose stop was requested recently: their capacity is about to become free."""
     return [
         attempt
         for attempt in _attempts(cluster_state)
@@ -34,7 +35,7 @@
 
 
 def preemptible_tasks(cluster_state: ClusterState, now: float) -> list[Victim]:
-    """All tasks that might be preempted for some job."""
+    """All running tasks that the rules allow to preempt for some job."""
     wall_now = time.time()
     return [
         _victim(attempt, now)
@@ -48,9 +49,9 @@
 
 def _is_preemptible(job: Job, wall_now: float) -> bool:
     if job.is_gang or job.is_service:
-        return False  # a gang would lose all its tasks; a replica would come first again
-    # The one task with which an overdue job has started is spared. It has only just started, so it
-    # would be the least loss and be preempted again and again.
+        return False  # a gang would lose all its tasks; a replica would be placed first again
+    # The first and only task of a job that started overdue is never preempted. It has just started,
+    # so its preemption would cost least and it would be preempted repeatedly.
     is_first_task = len(job.live_attempts) == 1 and not job.done_count
     return not (is_first_task and wall_now > job.accepted_at + MAX_START_DELAY_S)
 
@@ -67,7 +68,7 @@
         job.cores,
         job.accelerators,
         job.ram_gb,
-        # Each preemption doubles the loss that the next one counts for, so that one task is not
-        # preempted over and over.
+        # Each preemption of a task doubles the cost of the next one, so that the same task is not
+        # preempted repeatedly.
         lost_s * 2.0 ** job.preemption_counts.get(attempt.task, 0),
     )
--- a/petrelthread/scheduling/preemption_planner.py
+++ b/petrelthread/scheduling/preemption_planner.py
@@ -15,7 +15,7 @@
 from petrelthread.scheduling.machine_capacity import MachineCapacity
 from petrelthread.scheduling.placement_request import PlacementRequest
 from petrelthread.scheduling.preemption_candidates import preemptible_tasks, stopping_attempts
-from petrelthread.scheduling.preemption_rules import CapacityShortfall, Victim, is_served_before
+from petrelthread.scheduling.preemption_rules import CapacityShortfall, Victim, ranks_above
 from petrelthread.scheduling.quota import QuotaHeadroom, TeamUsage
 from petrelthread.scheduling.replica_preemption import ReplicaVictimSelector
 from petrelthread.scheduling.victim_selection import choose_victims
@@ -24,21 +24,23 @@
 
 log = logging.getLogger(__name__)
 
-DEFAULT_PATIENCE_S = 10.0  # how long a job waits before tasks are preempted for it
-PATIENCE_SHARE = 0.2  # or this share of the time within which its class should start
+# How long a job waits before tasks are preempted for it: the given share of the start objective of
+# its class, or the default if the class has none.
+DEFAULT_PREEMPTION_DELAY_S = 10.0
+PREEMPTION_DELAY_SHARE = 0.2
 
 
 @dataclass(frozen=True)
 class PlacedRound:
-    """A round as placement has left it.
+    """State of a round after placement.
 
     Attributes:
-        requests: all of the round, in the order in which they were served.
+        requests: all requests of the round, in scheduling order.
         guaranteed: by job index, whether the job lies within its team's guarantee.
         placed: by job index, how many of its tasks were placed.
-        quotas: by team index, what the team may still use.
+        quotas: by team index, the headroom that is left of the team's limits.
         usage: by team index, what the team used before the round.
-        capacity: what is left, without the reserved machines.
+        capacity: the free capacity that is left; its index of usable machines lacks the reserved.
         reserved: machines that are reserved for overdue jobs.
     """
 
@@ -52,24 +54,24 @@
 
 
 class PreemptionPlanner:
-    """Plans preemptions; the capacity that they free is used by the next rounds."""
+    """Plans preemptions; later rounds place tasks on the capacity that they free."""
 
     def __init__(self, settings: Settings, cluster_state: ClusterState, fleet: Fleet) -> None:
         self._cluster_state = cluster_state
         self._fleet = fleet
         self._teams = settings.cluster.teams
-        self._patience_s = _patience_by_class(settings, cluster_state)
+        self._preemption_delay_s = _preemption_delay_by_class(settings, cluster_state)
 
     def plan(self, placed_round: PlacedRound, now: float) -> list[Attempt]:
-        """The attempts to stop, with account of how often each task was preempted."""
-        surplus_cores = _cores_over_guarantee(placed_round.usage, self._teams)
-        for_replicas = self._plan_for_replicas(placed_round, surplus_cores, now)
-        return for_replicas or self._plan_for_first_job(placed_round, surplus_cores, now)
+        """Choose the attempts to stop, and count each task's preemptions."""
+        cores_over_guarantee = _cores_over_guarantee(placed_round.usage, self._teams)
+        for_replicas = self._plan_for_replicas(placed_round, cores_over_guarantee, now)
+        return for_replicas or self._plan_for_first_job(placed_round, cores_over_guarantee, now)
 
     def _plan_for_replicas(
-        self, placed_round: PlacedRound, surplus_cores: list[float], now: float
+        self, placed_round: PlacedRound, cores_over_guarantee: list[float], now: float
     ) -> list[Attempt]:
-        """Preempt for all missing replicas at once, because every second without them counts."""
+        """Preempt for all missing replicas in one round: a service needs them without delay."""
         shortfalls = self._replica_shortfalls(placed_round)
         if not shortfalls:
             return []
@@ -84,7 +86,7 @@
                 job = attempt.job
                 machine.release(job.cores, job.accelerators, job.ram_gb)
         victims = preemptible_tasks(self._cluster_state, now)
-        selector = ReplicaVictimSelector(machines, victims, surplus_cores)
+        selector = ReplicaVictimSelector(machines, victims, cores_over_guarantee)
         attempts = []
         for shortfall in shortfalls:
             job = self._cluster_state.jobs[shortfall.request.job_index]
@@ -92,14 +94,14 @@
         return attempts
 
     def _replica_shortfalls(self, placed_round: PlacedRound) -> list[CapacityShortfall]:
-        """Missing replicas; takes the quota headroom that they need."""
+        """Find the missing replicas; subtracts them from the quota headroom."""
         shortfalls = []
-        unaccounted = placed_round.placed.copy()
+        unattributed = placed_round.placed.copy()
         for request in placed_round.requests:
             job = self._cluster_state.jobs[request.job_index]
             if not job.is_service:
                 continue
-            missing = _missing_tasks(request, unaccounted, placed_round.quotas)
+            missing = _missing_tasks(request, unattributed, placed_round.quotas)
             if missing <= 0 or request.single_zone or self._fleet.job_failures.is_suspect(job):
                 continue
             placed_round.quotas[request.team].take(request, missing)
@@ -108,15 +110,15 @@
         return shortfalls
 
     def _plan_for_first_job(
-        self, placed_round: PlacedRound, surplus_cores: list[float], now: float
+        self, placed_round: PlacedRound, cores_over_guarantee: list[float], now: float
     ) -> list[Attempt]:
-        """Preempt for the first job that has waited too long and that may preempt something."""
+        """Preempt for the first job that has waited too long and for which there are victims."""
         victims: list[Victim] | None = None
         machines: dict[int, MachineCapacity] = {}
         for shortfall in self._batch_shortfalls(placed_round):
             if victims is None:
                 if stopping_attempts(self._cluster_state, now):
-                    return []  # the capacity that is being freed is used first
+                    return []  # capacity of tasks that are already stopping is used first
                 victims = [
                     victim
                     for victim in preemptible_tasks(self._cluster_state, now)
@@ -126,9 +128,9 @@
             candidates = [
                 victim
                 for victim in victims
-                if is_served_before(shortfall, victim, placed_round.guaranteed)
+                if ranks_above(shortfall, victim, placed_round.guaranteed)
             ]
-            chosen = choose_victims(shortfall, candidates, machines, surplus_cores)
+            chosen = choose_victims(shortfall, candidates, machines, cores_over_guarantee)
             job = self._cluster_state.jobs[shortfall.request.job_index]
             attempts = self._preempt(chosen, job)
             if attempts:
@@ -136,13 +138,13 @@
         return []
 
     def _batch_shortfalls(self, placed_round: PlacedRound) -> Iterator[CapacityShortfall]:
-        """Tasks of jobs that have waited too long and for which others may be preempted."""
-        unaccounted = placed_round.placed.copy()
+        """Yield the missing tasks of each batch job for which others may now be preempted."""
+        unattributed = placed_round.placed.copy()
         for request in placed_round.requests:
             job = self._cluster_state.jobs[request.job_index]
             if job.is_service or self._fleet.job_failures.is_suspect(job):
                 continue
-            missing = _missing_tasks(request, unaccounted, placed_round.quotas)
+            missing = _missing_tasks(request, unattributed, placed_round.quotas)
             guaranteed = placed_round.guaranteed[request.job_index]
             if (
                 missing > 0
@@ -153,18 +155,18 @@
                 yield CapacityShortfall(request, job.priority, guaranteed, missing)
 
     def _may_preempt_for(self, job: Job, guaranteed: bool) -> bool:
-        """Whether the job is important enough and has waited too long.
+        """Whether the job has waited too long and is guaranteed or of high priority.
 
-        The time since its last start counts: a job that still gets capacity as it becomes free does
-        not need others to be preempted.
+        The wait begins with the job's latest start: a job that still gets capacity as it becomes
+        free does not need others to be preempted.
         """
         waiting_s = time.time() - max(job.accepted_at, job.last_start_at)
-        if waiting_s < self._patience_s.get(job.job_class, DEFAULT_PATIENCE_S):
+        if waiting_s < self._preemption_delay_s.get(job.job_class, DEFAULT_PREEMPTION_DELAY_S):
             return False
         return guaranteed or job.priority >= protocol.PRIORITIES["high"]
 
     def _preempt(self, victims: list[Victim], job: Job) -> list[Attempt]:
-        """The attempts to stop for a job; counts the preemptions of each task."""
+        """Return the victims' attempts, which are to be stopped for ``job``; counts preemptions."""
         attempts = []
         for victim in victims:
             victim_job = self._cluster_state.jobs[victim.job_index]
@@ -174,38 +176,38 @@
             attempts.append(attempt)
             counts = victim_job.preemption_counts
             counts[attempt.task] = counts.get(attempt.task, 0) + 1
-            log.info("preempting %s/%d for %s", victim_job.id, attempt.task, job.id)
+            log.info("preempting task %s/%d for job %s", victim_job.id, attempt.task, job.id)
         return attempts
 
 
-def _patience_by_class(settings: Settings, cluster_state: ClusterState) -> dict[int, float]:
-    """How long a job of each class waits before tasks are preempted for it, in seconds.
+def _preemption_delay_by_class(settings: Settings, cluster_state: ClusterState) -> dict[int, float]:
+    """How long a job waits before tasks are preempted for it, in seconds, by job class.
 
-    Of several objectives of a class the soonest counts.
+    If a class has several objectives for the start, the shortest one applies.
     """
-    patience: dict[int, float] = {}
+    delay_by_class: dict[int, float] = {}
     for objective in settings.cluster.objectives:
         if objective.kind == "wait":
             job_class = cluster_state.names.job_classes.index(objective.jobclass)
-            patience_s = PATIENCE_SHARE * objective.within_s
-            patience[job_class] = min(patience_s, patience.get(job_class, math.inf))
-    return patience
+            delay_s = PREEMPTION_DELAY_SHARE * objective.within_s
+            delay_by_class[job_class] = min(delay_s, delay_by_class.get(job_class, math.inf))
+    return delay_by_class
 
 
 def _cores_over_guarantee(usage: list[TeamUsage], teams: tuple[Team, ...]) -> list[float]:
-    """Cores that each team uses beyond its guarantee, by team index; negative if below it."""
+    """Cores that each team uses beyond its guarantee, by team index; negative if it uses fewer."""
     return [used.cores - team.cpus for used, team in zip(usage, teams, strict=False)]
 
 
 def _missing_tasks(
-    request: PlacementRequest, unaccounted: Counter[int], quotas: list[QuotaHeadroom]
+    request: PlacementRequest, unattributed: Counter[int], quotas: list[QuotaHeadroom]
 ) -> int:
-    """How many tasks of the request still need capacity, as far as the team's quota allows them.
+    """Number of the request's unplaced tasks that the team's quota allows.
 
-    ``unaccounted``: by job index, tasks placed in this round that no earlier request of the job has
-    accounted for. An overdue job makes two requests, and each placed task counts for one of them.
+    ``unattributed``: by job index, the tasks placed in this round that are not yet attributed to a
+    request of the job. An overdue job makes two requests; each placed task counts for one of them.
     """
-    placed = min(request.pending, unaccounted[request.job_index])
+    placed = min(request.pending, unattributed[request.job_index])
     if placed:
-        unaccounted[request.job_index] -= placed
+        unattributed[request.job_index] -= placed
     return min(request.pending - placed, quotas[request.team].max_tasks(request))
--- a/petrelthread/scheduling/preemption_rules.py
+++ b/petrelthread/scheduling/preemption_rules.py
@@ -1,7 +1,7 @@
 """Which running tasks may be preempted for which job.
 
-A job may preempt work of lower priority; a job within its team's guarantee may also preempt work of
-any priority that another team runs beyond its own guarantee. Nothing else is preempted.
+A job may preempt tasks of lower priority. A job within its team's guarantee may also preempt tasks
+of any priority that another team runs beyond its own guarantee. No other tasks are preempted.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class Victim(NamedTuple):
-    """A running task that might be preempted.
+    """A running task that may be preempted.
 
-    ``lost_s`` is the run time that would be lost, more for a task that was preempted before.
+    ``cost_s`` is the run time that would be lost, doubled for each earlier preemption of the task.
     """
 
     job_index: int
@@ -26,11 +26,11 @@
     cores: float
     accelerators: float
     ram_gb: float
-    lost_s: float
+    cost_s: float
 
 
 class CapacityShortfall(NamedTuple):
-    """Tasks of one job for which there is no capacity."""
+    """A job of which ``missing`` tasks have no capacity."""
 
     request: PlacementRequest
     priority: int
@@ -39,7 +39,7 @@
 
 
 def may_preempt(shortfall: CapacityShortfall, victim: Victim, cores_over_guarantee: float) -> bool:
-    """Whether a job may preempt the victim.
+    """Whether the job with the shortfall may preempt the victim.
 
     ``cores_over_guarantee``: cores that the victim's team uses beyond its guarantee.
     """
@@ -52,15 +52,13 @@
     )
 
 
-def is_served_before(
-    shortfall: CapacityShortfall, victim: Victim, guaranteed: dict[int, bool]
-) -> bool:
-    """Whether the job comes before the victim's in the order: guarantees, then priority.
+def ranks_above(shortfall: CapacityShortfall, victim: Victim, guaranteed: dict[int, bool]) -> bool:
+    """Whether the job precedes the victim's job by guarantee, then by priority.
 
-    The capacity of a task whose job comes first would be given to that very task again, which would
-    be preempted and started anew without end.
+    If the victim's job came first, the next round would give the freed capacity back to the
+    victim, which would be preempted and restarted endlessly.
 
-    ``guaranteed``: by job index, whether it lies within its team's guarantee.
+    ``guaranteed``: by job index, whether the job lies within its team's guarantee.
     """
     victim_guaranteed = guaranteed.get(victim.job_index)
     return victim_guaranteed is not None and (shortfall.guaranteed, shortfall.priority) > (
--- a/petrelthread/scheduling/replica_preemption.py
+++ b/petrelthread/scheduling/replica_preemption.py
@@ -1,6 +1,7 @@
-"""Which running tasks to preempt so that the missing replicas of all services fit at once.
+"""Selection of running tasks to preempt so that the missing replicas of all services fit.
 
-Works on copies of what is free or about to be free, and changes no state of the cluster.
+Works on copies of the capacity that is free or about to become free, and does not change the
+cluster state.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 
 class _Candidate(NamedTuple):
-    """A machine for one replica, with the tasks that have to leave it; the smallest is chosen."""
+    """A machine for one replica and the tasks to preempt there; the smallest tuple is chosen."""
 
     replicas_in_zone: int  # 0 where the service is not spread over zones
     replicas_on_machine: int
     fetches_image: bool
-    lost_s: float
+    cost_s: float
     machine_index: int
     victims: tuple[Victim, ...]
 
 
 class ReplicaVictimSelector:
-    """Selects victims for one service after the other, with account of earlier selections."""
+    """Selects victims for one service at a time and takes earlier selections into account."""
 
     def __init__(
         self,
@@ -35,13 +36,13 @@
         victims: list[Victim],
         cores_over_guarantee: list[float],
     ) -> None:
-        """``machines``: copies, in which the capacity of tasks that are stopping is free."""
+        """``machines``: copies that count the capacity of stopping tasks as free."""
         self._machines = machines
-        self._surplus_cores = list(cores_over_guarantee)
+        self._cores_over_guarantee = list(cores_over_guarantee)
         self._victims = victims_by_machine(victims)
 
     def select_victims(self, shortfall: CapacityShortfall) -> list[Victim]:
-        """Tasks to preempt for the replicas of one service; none for those that fit as it is."""
+        """Tasks to preempt for one service's replicas; none for replicas that fit without."""
         request = shortfall.request
         occupancy = request.occupancy.copy()
         victims: list[Victim] = []
@@ -64,7 +65,7 @@
             if not machine.allows(request) or headroom(machine.zone) <= 0:
                 continue
             on_machine = self._victims.get(machine_index, ())
-            victims = select_victims_on(machine, shortfall, on_machine, self._surplus_cores)
+            victims = select_victims_on(machine, shortfall, on_machine, self._cores_over_guarantee)
             if victims is None:
                 continue
             candidates.append(
@@ -72,7 +73,7 @@
                     occupancy.zones.get(machine.zone, 0) if request.spread_zones else 0,
                     occupancy.machines.get(machine_index, 0),
                     request.image not in machine.images,
-                    sum(victim.lost_s for victim in victims),
+                    sum(victim.cost_s for victim in victims),
                     machine_index,
                     tuple(victims),
                 )
@@ -83,6 +84,6 @@
         machine = self._machines[candidate.machine_index]
         for victim in candidate.victims:
             self._victims[candidate.machine_index].remove(victim)
-            self._surplus_cores[victim.team] -= victim.cores
+            self._cores_over_guarantee[victim.team] -= victim.cores
             machine.release(victim.cores, victim.accelerators, victim.ram_gb)
         machine.take(request)
