--- a/petrelthread/scheduling/capacity_index.py
+++ b/petrelthread/scheduling/capacity_index.py
@@ -1,9 +1,9 @@
-"""Free capacity by machine, ordered so that a decision examines few machines.
+"""Index of free capacity by machine, sorted so that a placement examines few machines.
 
 Machines of one type, zone and kind (spot or on-demand) form a group: a request allows all of a
-group or none of it. Within a group they are sorted by the machine rule's order, most free first,
-and for each image the machines that cache it are known. ``docs/free-room.md`` compares this with
-buckets and with a plain list.
+group or none of it. A group sorts its machines by the machine rule (see ``bin_packing``), most free
+capacity first, and maps each image to the machines that cache it. ``docs/free-room.md`` compares
+this with buckets and with a plain list.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from petrelthread.scheduling.placement_request import PlacementRequest
 from petrelthread.scheduling.tolerance import CAPACITY_TOLERANCE
 
-# Minus free cores, minus free memory, machine index. Plain tuples: they are compared very often.
+# Sort key: minus free cores, minus free memory, machine index. A plain tuple, because keys are
+# compared very often.
 Position = tuple[float, float, int]
 
 
@@ -28,7 +29,7 @@
 
 
 class _Group:
-    """Machines that every request either may use or may not."""
+    """Machines of one type, zone and kind: a request allows either all of them or none."""
 
     __slots__ = ("by_free_capacity", "by_image", "machine_type", "spot", "zone")
 
@@ -51,12 +52,12 @@
                 del self.by_image[image]
 
     def count_with_cores(self, cores: float) -> int:
-        """How many machines have so many cores free: the first of ``by_free_capacity``."""
+        """Number of machines with so many free cores; they come first in ``by_free_capacity``."""
         return self.by_free_capacity.bisect_right((CAPACITY_TOLERANCE - cores, math.inf, 0))
 
 
 class _IndexEntry:
-    """Under what a machine is filed at present."""
+    """The group, position and images under which a machine is indexed."""
 
     __slots__ = ("group", "images", "position")
 
@@ -69,9 +70,10 @@
 class CapacityIndex:
     """Free capacity of machines, by machine index.
 
-    Decisions of a round change a ``MachineCapacity`` in place and call ``reindex``;
-    ``modified_machines`` then holds the machines that differ from the real state until they are put
-    anew. ``examined_count`` counts the machines that queries have examined.
+    A round's decisions change a ``MachineCapacity`` in place and call ``reindex``.
+    ``modified_machines`` holds the machines that for this reason differ from the cluster state;
+    ``FreeCapacity`` puts them again after the round. ``examined_count`` counts the machines that
+    queries have examined.
     """
 
     def __init__(self, machines: Iterable[MachineCapacity] = ()) -> None:
@@ -86,7 +88,7 @@
     # ---- changes ----------------------------------------------------------------------------
 
     def put(self, machine: MachineCapacity) -> None:
-        """Add a machine, or replace what is known of it."""
+        """Add a machine, or replace its entry."""
         self.discard(machine.machine_index)
         key = (machine.machine_type, machine.zone, machine.spot)
         group = self._groups.get(key)
@@ -124,14 +126,14 @@
         self.modified_machines.add(machine.machine_index)
 
     def withhold(self, machine_index: int) -> None:
-        """Leave a machine out until it is put anew."""
+        """Remove a machine until it is put again; ``modified_machines`` records it."""
         self.discard(machine_index)
         self.modified_machines.add(machine_index)
 
     # ---- queries ----------------------------------------------------------------------------
 
     def _allowed_groups(self, request: PlacementRequest, zone: int | None) -> list[_Group]:
-        """The groups that the request may use, in the given zone if there is one."""
+        """Return the groups that the request may use, only those in ``zone`` if it is not None."""
         return [
             group
             for group in self._groups.values()
@@ -142,14 +144,14 @@
         ]
 
     def _examine(self, machine: MachineCapacity, request: PlacementRequest) -> bool:
-        """Whether a machine of an allowed group takes one task; counts it as examined."""
+        """Whether one task fits on a machine of an allowed group; counts it as examined."""
         self.examined_count += 1
         return machine.machine_index not in request.excluded_machines and machine.fits(request)
 
     def fitting_by_group(
         self, request: PlacementRequest, zone: int | None = None
     ) -> Iterator[tuple[int, Iterator[MachineCapacity]]]:
-        """For each allowed group: its zone and the fitting machines, most free first."""
+        """Yield each allowed group's zone and its fitting machines, most free first."""
         for group in self._allowed_groups(request, zone):
             yield group.zone, self._fitting_in(group, request)
 
@@ -168,7 +170,7 @@
     def cached_candidates(
         self, request: PlacementRequest, count: int, zone: int | None = None
     ) -> list[MachineCapacity]:
-        """Fitting machines that cache the image: of each group at least the ``count`` freest."""
+        """Fitting machines that cache the image, at least the ``count`` most free of each group."""
         candidates: list[MachineCapacity] = []
         for group in self._allowed_groups(request, zone):
             caching = group.by_image.get(request.image)
@@ -179,11 +181,11 @@
     def _cached_in(
         self, group: _Group, caching: set[int], request: PlacementRequest, count: int
     ) -> list[MachineCapacity]:
-        """Fitting machines of one group that cache the image, at least the ``count`` freest.
+        """Fitting machines of one group that cache the image, at least the ``count`` most free.
 
-        Neither the machines by free capacity nor those that cache the image are walked further than
-        the shorter of the two lists. Where many machines cache the image, the freest ones soon
-        include enough of them; where few do, these few are examined.
+        Both iterations, over the machines by free capacity and over those that cache the image, end
+        at the latest after the length of the shorter list. If many machines cache the image, the
+        first few by free capacity include enough of them; if few do, these few are examined.
         """
         with_cores = group.count_with_cores(request.cores)
         candidates: list[MachineCapacity] = []
@@ -206,7 +208,8 @@
     ) -> Iterator[MachineCapacity]:
         """Fitting machines that do not cache the image, most free first.
 
-        ``full_zones``: zones that take no more tasks; read anew before each machine.
+        ``full_zones``: zones that accept no more tasks of the job. The caller may add to it during
+        the iteration; it is checked before each machine.
         """
 
         def of_group(
@@ -225,9 +228,9 @@
     def best_candidates(
         self, request: PlacementRequest, count: int, zone: int | None = None
     ) -> list[MachineCapacity]:
-        """Of each group the ``count`` fitting machines that come first by the machine rule.
+        """The first ``count`` fitting machines of each group by the machine rule.
 
-        A group may contribute more than ``count``, or fewer if it has not so many.
+        A group may contribute more than ``count``, or fewer if fewer of its machines fit.
         """
         candidates: list[MachineCapacity] = []
         for group in self._allowed_groups(request, zone):
@@ -243,17 +246,17 @@
     def most_free(
         self, request: PlacementRequest, machine_types: Collection[int], exclude: Collection[int]
     ) -> MachineCapacity | None:
-        """The allowed machine of these types with most free, whether or not the request fits.
+        """The allowed machine of these types with most free capacity, even if no task fits.
 
-        ``exclude``: indexes of machines that do not come into question.
+        ``exclude``: indexes of machines that must not be chosen.
         """
-        firsts = []
+        candidates = []
         for group in self._groups.values():
             if group.machine_type in machine_types:
-                first = self._most_free_in(group, request, exclude)
-                if first is not None:
-                    firsts.append(first)
-        return min(firsts, key=_position, default=None)
+                candidate = self._most_free_in(group, request, exclude)
+                if candidate is not None:
+                    candidates.append(candidate)
+        return min(candidates, key=_position, default=None)
 
     def _most_free_in(
         self, group: _Group, request: PlacementRequest, exclude: Collection[int]
@@ -264,7 +267,7 @@
             if machine.machine_index in request.excluded_machines:
                 continue
             if not machine.allows(request):
-                return None  # nor is any other machine of the group allowed
+                return None  # the request allows no machine of this group
             if machine.machine_index not in exclude:
                 return machine
         return None
--- a/petrelthread/scheduling/cluster_view.py
+++ b/petrelthread/scheduling/cluster_view.py
@@ -1,4 +1,4 @@
-"""Read-only view of jobs, capacity and quotas, as the leader sees them now."""
+"""Read-only view of the leader's current state of jobs, capacity and quotas."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState, Job
 
-USABLE_CORE_SHARE = 0.85  # of all cores: the rest fetch images, wait for a round or fit no task
+# Share of all cores that can run tasks. The rest are fetching images, are idle until the next round
+# or are too few on their machine for any task.
+USABLE_CORE_SHARE = 0.85
 
 
 class ClusterView:
-    """Answers what rounds and provisioning ask about the cluster; changes nothing.
+    """Read-only queries on the cluster, for scheduling rounds and for provisioning.
 
-    ``teams`` holds the teams of the settings by team index.
+    ``teams`` holds the configured teams by team index.
     """
 
     def __init__(
@@ -50,16 +52,16 @@
     # ---- capacity and quotas ----------------------------------------------------------------
 
     def free_capacity(self) -> FreeCapacity:
-        """What is free now, on which machines."""
+        """Return the up-to-date free capacity of all machines."""
         self._free_capacity.refresh()
         return self._free_capacity
 
     def usable_cores(self) -> float:
-        """Cores that can be kept at work by all jobs together; infinite if none are known."""
+        """Cores that all jobs together can keep busy; infinite if no machine is known."""
         return self.free_capacity().cores() * USABLE_CORE_SHARE or math.inf
 
     def fitting_machine_types(self, request: PlacementRequest) -> frozenset[int]:
-        """Machine types of which one, when empty, holds a task of the request."""
+        """Machine types on which one task of the request fits if the machine is empty."""
         return frozenset(
             index
             for index, machine_type in self._machine_types().items()
@@ -67,7 +69,7 @@
         )
 
     def team_usage(self) -> list[TeamUsage]:
-        """What each team's tasks use or may be using on any machine, by team index."""
+        """Upper bound of what each team's tasks use on all machines, by team index."""
         usages = (
             self._cluster_state.usage.team(team)
             for team in range(len(self._cluster_state.names.teams))
@@ -75,17 +77,17 @@
         return [TeamUsage(usage.cores, usage.accelerators) for usage in usages]
 
     def load_summary(self) -> str:
-        """What the machines are doing, on one line for the log."""
+        """One log line with the cores of machines and tasks by state."""
         return str(summarize_load(self._cluster_state, self._fleet, self._machine_types()))
 
     # ---- jobs ---------------------------------------------------------------------------------
 
     def has_objectives(self, job: Job) -> bool:
-        """Whether the job has a deadline or its class an objective for completion."""
+        """Whether the job has a deadline or its class has a completion objective."""
         return self._objectives.has_any(job)
 
     def wave_count(self, job: Job, task_count: int) -> int:
-        """How many times the job's team has to use its whole limit for so many tasks."""
+        """Number of waves that ``task_count`` tasks take if the job uses its team's whole limit."""
         team = self.teams[job.team]
         max_parallel = float(job.task_count)
         if job.cores > 0:
@@ -95,7 +97,7 @@
         return math.ceil(task_count / max(1.0, max_parallel))
 
     def critical_path_s(self, job: Job) -> float:
-        """How long the job still takes at best, with its team's whole limit for itself."""
+        """Lower bound of the remaining time if the job has its team's whole limit to itself."""
         run_s = self.estimates.run_s(job)
         team = self.teams[job.team]
         finished = len(self._fleet.finished_tasks.get(job.index, ()))
@@ -109,10 +111,11 @@
         return run_s * limit_share
 
     def job_order(self) -> list[QueuedJob]:
-        """Open jobs in the order in which they are served."""
+        """Return the open jobs in scheduling order."""
         entries = []
-        # A suspect job is tried one task at a time. This task comes before all else, so that a job
-        # that was only unlucky soon continues; the job itself is neither ordered nor waited for.
+        # Of a suspect job, one task at a time is started. It precedes all other jobs, so that a job
+        # whose failures had another cause soon continues. Suspect jobs are not passed to
+        # ``order_jobs``, so no other job waits for them.
         suspects = []
         for job in self._cluster_state.open_jobs.values():
             if self._fleet.job_failures.is_suspect(job):
@@ -143,7 +146,7 @@
         unfinished = job.task_count - job.done_count
         run_s = self.estimates.run_s(job)
         live = len(job.live_attempts)
-        # A live task counts as half done.
+        # A live task counts as half finished.
         remaining_s = (unfinished - live / 2) * run_s - sum(job.checkpointed_s.values())
         return QueueEntry(
             job.index,
@@ -162,7 +165,7 @@
         )
 
     def placement_request(self, job: Job) -> PlacementRequest:
-        """What the job requests of a round: all tasks that may start now."""
+        """Build the job's request for a round: all tasks that may start now."""
         needs_occupancy = job.single_zone or job.spread_zones or job.is_service
         machines = self._fleet.machines
         occupancy = JobOccupancy.of(job, machines) if needs_occupancy else JobOccupancy()
@@ -187,7 +190,7 @@
         )
 
     def _excluded_machines(self, job: Job) -> frozenset[int]:
-        """Machines on which the job failed, as long as there are as many others."""
+        """Machines on which the job failed; none if they are more than half of those in use."""
         failed_on = self._fleet.job_failures.failed_on(job)
         if not failed_on:
             return frozenset()
--- a/petrelthread/scheduling/free_capacity.py
+++ b/petrelthread/scheduling/free_capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity of all machines, kept up to date from what changed."""
+"""Free capacity of all machines, updated incrementally for the machines that changed."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class FreeCapacity:
-    """Two indexes of the machines that may be given work.
+    """Two indexes of the schedulable machines.
 
-    ``usable`` holds the machines in regular use, ``surplus`` the spot machines that are being
-    returned and take only what fits nowhere else.
+    ``usable`` holds the machines that are not cordoned. ``surplus`` holds the cordoned spot
+    machines, which get only tasks that fit on no usable machine.
 
-    Whatever decides whether a machine is schedulable, and how much of it is free, marks the machine
-    in ``UsageTracker.changed_machines``: an attempt that starts or ends there, and each change of a
-    ``Machine`` field on which scheduling depends.
+    ``UsageTracker.changed_machines`` must receive each machine whose schedulability or free
+    capacity may have changed: when an attempt starts or ends on it, and when a ``Machine`` field on
+    which scheduling depends changes.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
         self._known_types: MachineTypes = {}
         self.usable = CapacityIndex()
         self.surplus = CapacityIndex()
-        # Machines that accept work or are booting, whether or not they have acknowledged this
-        # epoch: the type of each, and the number of machines of each type.
+        # Type of each machine that accepts work or is booting, and number of these machines by
+        # type. They count even before they acknowledge the present epoch.
         self._type_by_machine: dict[int, int] = {}
         self._count_by_type: Counter[int] = Counter()
 
@@ -51,14 +51,14 @@
         )
 
     def machines(self) -> dict[int, MachineCapacity]:
-        """Machines of both indexes, by machine index."""
+        """Return the machines of both indexes, by machine index."""
         return self.surplus.machines | self.usable.machines
 
     def refresh(self) -> None:
         """Bring both indexes up to date.
 
-        The cost is that of the machines that changed since the last call, and of all machines after
-        a change of the epoch or of the machine types.
+        Only the machines that changed since the last call are updated; after a change of the epoch
+        or of the machine types, all machines are.
         """
         changed = self._cluster_state.usage.changed_machines
         machine_types = self._machine_types()
@@ -74,7 +74,7 @@
         changed.clear()
 
     def discard_decisions(self) -> None:
-        """Forget the capacity that a round's decisions took: only a committed claim takes it."""
+        """Have the next refresh undo a round's changes; only a committed claim takes capacity."""
         for index in (self.usable, self.surplus):
             self._cluster_state.usage.changed_machines |= index.modified_machines
             index.modified_machines.clear()
@@ -83,7 +83,7 @@
         self.usable.discard(machine_index)
         self.surplus.discard(machine_index)
         machine = self._fleet.machines.get(machine_index)
-        self._recount(machine_index, machine)
+        self._update_type_count(machine_index, machine)
         if machine is None or not self._fleet.is_schedulable(machine):
             return
         capacity = self.capacity_of(machine)
@@ -94,7 +94,7 @@
         elif machine.spot:
             self.surplus.put(capacity)
 
-    def _recount(self, machine_index: int, machine: Machine | None) -> None:
+    def _update_type_count(self, machine_index: int, machine: Machine | None) -> None:
         counted_type = self._type_by_machine.pop(machine_index, None)
         if counted_type is not None:
             self._count_by_type[counted_type] -= 1
@@ -105,7 +105,7 @@
             self._count_by_type[machine.machine_type] += 1
 
     def capacity_of(self, machine: Machine) -> MachineCapacity | None:
-        """What is free on the machine; None if its type is not known."""
+        """Compute the machine's free capacity; None if its type is unknown."""
         machine_type = self._known_types.get(machine.machine_type)
         if machine_type is None:
             return None
--- a/petrelthread/scheduling/guarantees.py
+++ b/petrelthread/scheduling/guarantees.py
@@ -1,4 +1,4 @@
-"""Which jobs lie within the guarantees of their teams."""
+"""Decides which jobs lie within the guarantees of their teams."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Guarantee(NamedTuple):
-    """What a team is guaranteed, by its quota."""
+    """Resources that a team's quota guarantees."""
 
     cores: float
     accelerators: float
@@ -18,13 +18,14 @@
 def within_guarantee(entries: list[QueueEntry], guarantees: list[Guarantee]) -> dict[int, bool]:
     """Whether each job lies within its team's guarantee, by job index.
 
-    It does if it fits along with the team's earlier jobs that do. The whole job counts, finished
-    tasks included: otherwise a large job would come within the guarantee as its tasks finish, and
-    preempt the work of others for its last few.
+    In the order of acceptance, a job is within the guarantee if its request fits in what the team's
+    earlier guaranteed jobs leave. The whole job counts, including finished tasks: otherwise a large
+    job would come within the guarantee as its tasks finish, and tasks of other jobs would be
+    preempted for its last few.
 
     Args:
         entries: all unfinished jobs.
-        guarantees: cores and accelerators, by team index.
+        guarantees: guaranteed cores and accelerators, by team index.
     """
     used = [(0.0, 0.0)] * len(guarantees)
     guaranteed: dict[int, bool] = {}
--- a/petrelthread/scheduling/load_summary.py
+++ b/petrelthread/scheduling/load_summary.py
@@ -1,4 +1,4 @@
-"""What the machines are doing, in cores."""
+"""Cores of machines and of tasks by state, for the log."""
 
 from __future__ import annotations
 
@@ -12,19 +12,22 @@
 
 @dataclass
 class LoadSummary:
-    """Cores of machines and of tasks by state."""
+    """Cores by state.
+
+    ``up`` (of which ``cordoned``) and ``booting`` count machines, the others count tasks.
+    """
 
     up: float = 0.0
-    retiring: float = 0.0
+    cordoned: float = 0.0
     booting: float = 0.0
     running: float = 0.0
     starting: float = 0.0
     waiting: float = 0.0
 
     def __str__(self) -> str:
-        """One line for the log."""
+        """Format the sums as one log line."""
         return (
-            f"cores up {self.up:.0f} (retiring {self.retiring:.0f}), booting {self.booting:.0f};"
+            f"cores up {self.up:.0f} (cordoned {self.cordoned:.0f}), booting {self.booting:.0f};"
             f" running {self.running:.0f}, starting {self.starting:.0f}, waiting {self.waiting:.0f}"
         )
 
@@ -48,7 +51,7 @@
         cores = machine_type.cores if machine_type else 0.0
         if machine.accepts_work:
             load.up += cores
-            load.retiring += cores if machine.cordoned else 0.0
+            load.cordoned += cores if machine.cordoned else 0.0
         elif machine.health is Health.BOOTING:
             load.booting += cores
 
--- a/petrelthread/scheduling/machine_capacity.py
+++ b/petrelthread/scheduling/machine_capacity.py
@@ -9,9 +9,9 @@
 
 
 class MachineCapacity:
-    """What is free on one machine, and what decides which requests may use it.
+    """Free capacity of one machine, and the properties that decide which requests may use it.
 
-    ``images`` holds the indexes of the images that the machine caches or will have fetched.
+    ``images`` holds the indexes of the images that the machine caches or is going to fetch.
     """
 
     __slots__ = (
@@ -48,7 +48,7 @@
     def fits(self, request: PlacementRequest) -> bool:
         """Whether one task of the request fits into the free capacity.
 
-        The comparison of ``PlacementRequest.fits_into`` is repeated here because placement makes it
+        Repeats the comparison of ``PlacementRequest.fits_into`` to save a call: placement runs it
         for each machine that it examines.
         """
         return (
@@ -58,7 +58,7 @@
         )
 
     def allows(self, request: PlacementRequest) -> bool:
-        """Whether the job may use this machine at all, however much of it is free."""
+        """Whether the job may use this machine, regardless of its free capacity."""
         return (
             (request.spot_allowed or not self.spot)
             and (request.machine_types is None or self.machine_type in request.machine_types)
@@ -67,20 +67,20 @@
         )
 
     def take(self, request: PlacementRequest) -> None:
-        """Count one task of the request as placed here."""
+        """Subtract the capacity of one task of the request and count its image as cached."""
         self.cores -= request.cores
         self.accelerators -= request.accelerators
         self.ram_gb -= request.ram_gb
         self.images.add(request.image)
 
     def release(self, cores: float, accelerators: float, ram_gb: float) -> None:
-        """Count what a task held as free."""
+        """Add the capacity that a task used."""
         self.cores += cores
         self.accelerators += accelerators
         self.ram_gb += ram_gb
 
     def copy(self) -> MachineCapacity:
-        """An independent copy, for a decision that may be discarded."""
+        """Return an independent copy, for a decision that may be discarded."""
         return MachineCapacity(
             self.machine_index,
             self.machine_type,
@@ -93,12 +93,12 @@
         )
 
     def restore(self, before: MachineCapacity) -> None:
-        """Go back to what ``before``, a copy of this object, held."""
+        """Set the capacity and images back to those of ``before``, an earlier copy."""
         self.cores = before.cores
         self.accelerators = before.accelerators
         self.ram_gb = before.ram_gb
         self.images = before.images
 
     def placement_key(self, request: PlacementRequest) -> PlacementKey:
-        """Sort key of the machine rule: a cached image first, then most free; smallest wins."""
+        """Sort key of the machine rule, smallest first: a cached image, then most free capacity."""
         return (request.image not in self.images, -self.cores, -self.ram_gb, self.machine_index)
--- a/petrelthread/scheduling/occupancy.py
+++ b/petrelthread/scheduling/occupancy.py
@@ -1,6 +1,6 @@
-"""Where the tasks of one job are, or may be.
+"""Zones and machines that the tasks of one job occupy or may occupy.
 
-One object stands for one job in one round: all requests of the job share it, and each start that
+A round has one ``JobOccupancy`` for each job. All requests of the job share it, and each start that
 the round decides is added at once, so that two requests cannot choose different zones for one
 single-zone job.
 """
@@ -12,11 +12,12 @@
 from petrelthread.fleet import Machine
 from petrelthread.state import Job
 
-UNKNOWN_ZONE = -1  # of a machine that has neither reported to this leader nor been listed
+# Zone of a machine that has neither reported to this leader nor been listed by the cloud.
+UNKNOWN_ZONE = -1
 
 
 class JobOccupancy:
-    """Tasks of one job by zone and by machine, starts of the present round included."""
+    """Number of tasks of one job by zone and by machine, including starts of the present round."""
 
     __slots__ = ("machines", "zones")
 
@@ -28,10 +29,9 @@
 
     @classmethod
     def of(cls, job: Job, machines: dict[int, Machine]) -> JobOccupancy:
-        """What the job's live attempts occupy.
+        """Count the job's live attempts that have not exited.
 
-        A machine that is not in ``machines`` counts as one in an unknown zone: its tasks may be in
-        any zone.
+        A machine that is not in ``machines`` has ``UNKNOWN_ZONE``: its tasks may be in any zone.
         """
         occupancy = cls()
         for attempt in job.live_attempts.values():
@@ -48,11 +48,11 @@
         self.machines[machine_index] = self.machines.get(machine_index, 0) + 1
 
     def copy(self) -> JobOccupancy:
-        """An independent copy, for a decision that may be discarded."""
+        """Return an independent copy, for a decision that may be discarded."""
         return JobOccupancy(dict(self.zones), dict(self.machines))
 
     def restore(self, before: JobOccupancy) -> None:
-        """Forget what was added since ``before`` was copied."""
+        """Discard what was added since ``before`` was copied."""
         self.zones, self.machines = before.zones, before.machines
 
     def is_confined_to(self, zones: Iterable[int]) -> bool:
@@ -60,10 +60,10 @@
         return self.zones.keys() <= set(zones)
 
     def max_tasks_in(self, zone: int) -> int:
-        """How many tasks may be in the zone at most, those in an unknown zone included."""
+        """Upper bound of the tasks in the zone; those in an unknown zone may all be there."""
         return self.zones.get(zone, 0) + self.zones.get(UNKNOWN_ZONE, 0)
 
 
 def spread_limit(task_count: int) -> int:
-    """How many tasks of a job that spreads over zones may be in one zone: half, rounded up."""
+    """Most tasks of a job spread over zones that may be in one zone: half, rounded up."""
     return (task_count + 1) // 2
--- a/petrelthread/scheduling/quota.py
+++ b/petrelthread/scheduling/quota.py
@@ -1,4 +1,4 @@
-"""What teams use, and what their quotas leave them."""
+"""Resource usage of teams and the headroom within their quotas."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TeamUsage(NamedTuple):
-    """What the tasks of one team use, or may be using."""
+    """Upper bound of what the tasks of one team use."""
 
     cores: float
     accelerators: float
@@ -35,6 +35,6 @@
         return max(0, allowed)
 
     def take(self, request: PlacementRequest, tasks: int) -> None:
-        """Count so many tasks of the request as running."""
+        """Subtract ``tasks`` tasks of the request from the headroom."""
         self.cores -= tasks * request.cores
         self.accelerators -= tasks * request.accelerators
--- a/petrelthread/scheduling/reservations.py
+++ b/petrelthread/scheduling/reservations.py
@@ -1,8 +1,8 @@
-"""Machines reserved for overdue jobs that fit nowhere.
+"""Reservation of machines for overdue jobs that fit on no machine.
 
 Without a reservation a task of 16 cores finds no machine with 16 free cores as long as small tasks
-take whatever becomes free. One machine for each such job gets no new tasks until one task of the
-job fits there.
+take all capacity that becomes free. One machine for each such job gets no new tasks until one task
+of the job fits there.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
     """Choose the machine to reserve for each job that needs one.
 
     Args:
-        requests: of the overdue jobs, in the order in which they are served.
+        requests: those of the overdue jobs, in scheduling order.
         index: the machines that may be used.
-        fitting_machine_types: the machine types of which one, when empty, holds a task.
+        fitting_machine_types: returns the machine types on which a task fits if they are empty.
         quotas: what each team may still use, by team index.
-        previous: reservations so far; one stays as long as it can serve.
+        previous: earlier reservations; each is kept as long as its machine is suitable.
 
     Returns:
         The reserved machine by job index.
@@ -41,7 +41,7 @@
             continue
         machine_types = fitting_machine_types(request)
         machine = index.machines.get(previous.get(request.job_index, -1))
-        if machine is None or not _can_serve(machine, request, machine_types, taken):
+        if machine is None or not _is_still_suitable(machine, request, machine_types, taken):
             machine = index.most_free(request, machine_types, taken)
         if machine is not None:
             reserved[request.job_index] = machine.machine_index
@@ -49,13 +49,13 @@
     return reserved
 
 
-def _can_serve(
+def _is_still_suitable(
     machine: MachineCapacity,
     request: PlacementRequest,
     machine_types: Collection[int],
     taken: Collection[int],
 ) -> bool:
-    """Whether a reservation made earlier still makes sense."""
+    """Whether the machine of an earlier reservation may be kept for the request."""
     return (
         machine.machine_index not in taken
         and machine.machine_type in machine_types
--- a/petrelthread/scheduling/spot_reclaim.py
+++ b/petrelthread/scheduling/spot_reclaim.py
@@ -1,4 +1,4 @@
-"""Tasks to stop on machines that the cloud has announced to reclaim."""
+"""Selection of tasks to stop on spot machines that the cloud is about to reclaim."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def attempts_cut_short(fleet: Fleet, estimates: RunTimeEstimates, now: float) -> list[Attempt]:
     """Attempts that cannot finish before their machine is reclaimed.
 
-    Forgets the notices of machines that are gone.
+    Removes terminated machines from ``fleet.machines_with_notice``.
     """
     attempts = []
     for machine in list(fleet.machines_with_notice.values()):
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity index against a plain recount, and how few machines a decision examines."""
+"""Free capacity equals a full recomputation, and a placement examines few machines."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class CapacitySnapshot(NamedTuple):
-    """A comparable copy of a machine's free capacity."""
+    """A copy of a machine's free capacity that supports ``==``."""
 
     machine_type: int
     zone: int
@@ -48,8 +48,10 @@
     )
 
 
-def recounted(cluster: Cluster) -> tuple[dict[int, CapacitySnapshot], dict[int, CapacitySnapshot]]:
-    """Usable and surplus capacity, added up anew from the attempts on every machine."""
+def recomputed_capacity(
+    cluster: Cluster,
+) -> tuple[dict[int, CapacitySnapshot], dict[int, CapacitySnapshot]]:
+    """Usable and surplus capacity, recomputed from the attempts on every machine."""
     usable: dict[int, CapacitySnapshot] = {}
     surplus: dict[int, CapacitySnapshot] = {}
     for machine in cluster.fleet.machines.values():
@@ -74,7 +76,7 @@
 
 
 class RandomChanges:
-    """Random changes of the cluster, of every kind that decides what is free."""
+    """Random changes of everything in the cluster that determines free capacity."""
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster = cluster
@@ -84,28 +86,28 @@
             for n in range(6)
         ]
         self.attempts: list[Attempt] = []
-        self.machines = 0
+        self.machine_count = 0
 
     def change(self) -> None:
-        """Make one change."""
-        kinds = [
+        """Apply one random change."""
+        actions = [
             self.scale_out,
-            self.start,
-            self.start,
-            self.end,
-            self.judge,
-            self.cache,
+            self.start_attempt,
+            self.start_attempt,
+            self.end_attempt,
+            self.change_schedulability,
+            self.change_images,
             self.fail_over,
         ]
-        self.random.choice(kinds)()
+        self.random.choice(actions)()
 
     def scale_out(self) -> None:
-        if self.machines < 40:
-            self.machines += 1
-            machine = self.cluster.machine(self.machines, self.random.choice(ZONES))
+        if self.machine_count < 40:
+            self.machine_count += 1
+            machine = self.cluster.machine(self.machine_count, self.random.choice(ZONES))
             machine.spot = self.random.random() < 0.5
 
-    def start(self) -> None:
+    def start_attempt(self) -> None:
         if not self.cluster.fleet.machines:
             return
         chosen = self.random.choice(self.jobs)
@@ -116,7 +118,7 @@
             add = self.cluster.cluster_state.add_attempt
             self.attempts.append(add(number, chosen, task, machine.index, 1))
 
-    def end(self) -> None:
+    def end_attempt(self) -> None:
         if not self.attempts:
             return
         attempt = self.attempts.pop(self.random.randrange(len(self.attempts)))
@@ -125,8 +127,8 @@
         if self.random.random() < 0.8:
             self.cluster.cluster_state.release(attempt)
 
-    def judge(self) -> None:
-        """Change something else that decides whether a machine is schedulable."""
+    def change_schedulability(self) -> None:
+        """Change one of the machine fields that determine whether it is schedulable."""
         if not self.cluster.fleet.machines:
             return
         epoch = self.cluster.fleet.epoch
@@ -148,7 +150,7 @@
                 machine.acknowledged_epoch = epoch - 1
                 machine.scale_out_key = self.random.choice(["", f"c/{epoch}-1", f"c/{epoch - 1}-1"])
 
-    def cache(self) -> None:
+    def change_images(self) -> None:
         if self.cluster.fleet.machines:
             machine = self.random.choice(list(self.cluster.fleet.machines.values()))
             if self.random.random() < 0.1:
@@ -157,7 +159,7 @@
                 machine.use_image(self.random.randrange(9), 3.0, 10.0)
 
     def fail_over(self) -> None:
-        """A failover drops machines of which it knows nothing."""
+        """Fail over, in 3 % of calls; this drops one in three machines, which are not recorded."""
         if self.random.random() < 0.03:
             keep = [m.name for m in self.cluster.fleet.machines.values() if m.index % 3]
             self.cluster.fleet.fail_over(self.cluster.fleet.epoch + 1, now(), keep)
@@ -167,15 +169,15 @@
 
 @pytest.mark.parametrize("seed", range(5))
 @cluster_test
-def test_the_index_equals_a_recount_after_any_change(cluster: Cluster, seed: int) -> None:
+def test_refresh_equals_recomputation_after_random_changes(cluster: Cluster, seed: int) -> None:
     changes = RandomChanges(cluster, seed)
     free = FreeCapacity(cluster.cluster_state, cluster.fleet, lambda: cluster.types)
     compared = 0
     for step in range(2000):
         changes.change()
-        if step % 3 == 0:  # several changes at once, too
+        if step % 3 == 0:  # a refresh covers several changes
             free.refresh()
-            usable, surplus = recounted(cluster)
+            usable, surplus = recomputed_capacity(cluster)
             assert free.cores() == sum(
                 cluster.types[m.machine_type].cores
                 for m in cluster.fleet.machines.values()
@@ -189,8 +191,8 @@
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_discarded_decisions_leave_no_trace(seed: int) -> None:
-    """A gang that can't be placed is rolled back before other requests are placed."""
+def test_rolled_back_gang_does_not_change_later_placements(seed: int) -> None:
+    """Placement after the roll-back of a gang that can't be placed equals the model's."""
     requests, machines, quotas = random_case(seed)
     expected = model(*random_case(seed))
     index = CapacityIndex(machines)
@@ -201,39 +203,39 @@
     assert sorted(task_placements(place_requests(requests, index, quotas))) == sorted(expected)
 
 
-def fleet_of(machines: int, full_share: float, cached_share: float) -> CapacityIndex:
-    draw = random.Random(machines)
+def index_of_machines(machines: int, full_share: float, cached_share: float) -> CapacityIndex:
+    rng = random.Random(machines)
     return CapacityIndex(
         MachineCapacity(
             n,
             0,
             0,
             True,
-            0.0 if draw.random() < full_share else 4.0,
+            0.0 if rng.random() < full_share else 4.0,
             0.0,
             8.0,
-            {0} if draw.random() < cached_share else set(),
+            {0} if rng.random() < cached_share else set(),
         )
         for n in range(machines)
     )
 
 
-def one_task(**more: Any) -> PlacementRequest:
+def one_task(**overrides: Any) -> PlacementRequest:
     request = PlacementRequest(
         0, 0, 1, 1, 2.0, 0.0, 2.0, 0, None, None, True, False, False, JobOccupancy()
     )
-    return request._replace(**more)
+    return request._replace(**overrides)
 
 
 @pytest.mark.parametrize("full_share", [0.0, 0.5, 1.0])
 @pytest.mark.parametrize("cached_share", [0.0, 0.001, 0.05, 0.5, 1.0])
 @pytest.mark.parametrize(
-    "more", [{}, {"single_zone": True}, {"spread_machines": True}, {"spread_zones": True}]
+    "overrides", [{}, {"single_zone": True}, {"spread_machines": True}, {"spread_zones": True}]
 )
 def test_placing_one_task_examines_few_machines(
-    full_share: float, cached_share: float, more: dict[str, object]
+    full_share: float, cached_share: float, overrides: dict[str, object]
 ) -> None:
-    """The count is exactly repeatable, unlike a time."""
-    index = fleet_of(8000, full_share, cached_share)
-    place_requests([one_task(**more)], index, [QuotaHeadroom(99.0, 0.0)])
+    """Counts examined machines, because a count is deterministic and a duration is not."""
+    index = index_of_machines(8000, full_share, cached_share)
+    place_requests([one_task(**overrides)], index, [QuotaHeadroom(99.0, 0.0)])
     assert index.examined_count <= 100
--- a/petrelthread/scheduling/tolerance.py
+++ b/petrelthread/scheduling/tolerance.py
@@ -1,6 +1,8 @@
-"""Tolerances for comparing sums of cores, accelerators and memory, which are floating-point."""
+"""Tolerances for comparing floating-point sums of cores, accelerators and memory."""
 
 from __future__ import annotations
 
-CAPACITY_TOLERANCE = 1e-6  # of amounts that many starts and ends were added to and taken from
-REQUEST_TOLERANCE = 1e-9  # of sums of what jobs request
+# For amounts of capacity, which accumulate rounding errors over many starts and ends of tasks.
+CAPACITY_TOLERANCE = 1e-6
+# For sums of the requests of jobs.
+REQUEST_TOLERANCE = 1e-9
--- a/petrelthread/scheduling/zone_rules.py
+++ b/petrelthread/scheduling/zone_rules.py
@@ -1,4 +1,4 @@
-"""Which zones the tasks of a job may go to, given where its other tasks are."""
+"""Rules for the zones that a job's tasks may use, given the zones of its other tasks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def zone_headroom(request: PlacementRequest) -> Callable[[int], int]:
-    """A function that says how many more tasks of the job may go to a zone."""
+    """Return a function from a zone to the number of further tasks that it may get."""
 
     def headroom(zone: int) -> int:
         if request.single_zone and not request.occupancy.is_confined_to((zone,)):
@@ -24,12 +24,12 @@
 
 
 def choose_zone(request: PlacementRequest, index: CapacityIndex, max_tasks: int) -> int | None:
-    """The zone for a single-zone job: where its tasks are, else where most of them fit.
+    """Choose the zone of a single-zone job: that of its tasks, else where most of them fit.
 
     Args:
         request: the request of the job.
         index: the machines that may be used.
-        max_tasks: capacity for more tasks than these counts for nothing.
+        max_tasks: capacity for more tasks than this does not make a zone preferable.
 
     Returns:
         The zone, or None if no task of the job fits anywhere.
