--- a/petrelthread/leadership/__init__.py
+++ b/petrelthread/leadership/__init__.py
@@ -1,4 +1,4 @@
-"""Leadership: the election, the right to act as the leader, and writes that depend on it."""
+"""Leader election, the permissions of each role, and writes that only the leader may make."""
 
 from petrelthread.leadership.claim_writer import ClaimOutcome, ClaimResult, ClaimWriter
 from petrelthread.leadership.election import Election
--- a/petrelthread/leadership/campaign.py
+++ b/petrelthread/leadership/campaign.py
@@ -1,4 +1,4 @@
-"""The transaction by which a candidate is elected."""
+"""The transaction with which a candidate becomes the leader."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class CampaignLostError(Exception):
-    """The candidate was not elected, or cannot know whether it was. The message says why."""
+    """The candidate was not elected, or the result is unknown; the message gives the cause."""
 
 
 class Campaign:
-    """Writes the leader keys as a candidate: only if nobody leads and the epoch is as it was read.
+    """Writes the leader keys if there is no leader and the epoch is still the one that was read.
 
-    The compare-and-swap on the epoch key makes every epoch the epoch of one election only.
+    The compare-and-swap on the epoch key ensures that no two elections get the same epoch.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         watch_cache: WatchCache,
         current_leader: Callable[[], LeaderRecord | None],
     ) -> None:
-        """``current_leader`` returns the leader key as the watch cache read it last."""
+        """``current_leader`` returns the leader record that the watch cache read last."""
         self._client = client
         self._watch_cache = watch_cache
         self._current_leader = current_leader
@@ -42,11 +42,11 @@
 
         Args:
             record: The candidate's record, with an epoch one above the epoch read.
-            epoch_revision: The revision at which the epoch was read, 0 if there is none.
+            epoch_revision: The revision of the epoch key when it was read, 0 if it is absent.
 
         Raises:
-            CampaignLostError: The candidate must give its lease back. A transaction without an
-                answer may arrive late, and cannot be applied without that lease.
+            CampaignLostError: The caller must revoke the lease. A transaction whose result is
+                unknown may still arrive late; it cannot be applied once its lease is revoked.
         """
         conditions = leader_conditions(0, epoch_revision)
         try:
@@ -60,7 +60,7 @@
             return revision
 
     async def _revision_if_elected(self, nonce: str) -> int:
-        """Read the leader key again; return its revision if it is this candidate's, otherwise 0."""
+        """Read the leader key; return its revision if this candidate wrote it, otherwise 0."""
         if not await self._watch_cache.refresh():
             return 0
         leader = self._current_leader()
--- a/petrelthread/leadership/claim_writer.py
+++ b/petrelthread/leadership/claim_writer.py
@@ -31,8 +31,8 @@
     """How a claim ended."""
 
     COMMITTED = "won"
-    FENCED = "fenced"  # this controller does not lead any more, or not with the same epoch
-    CONFLICT = "clashed"  # another condition of the claim failed, or it was rejected
+    FENCED = "fenced"  # this controller no longer leads, or leads in another epoch
+    CONFLICT = "clashed"  # another condition failed, or the claim was rejected
 
 
 class ClaimResult(NamedTuple):
@@ -48,11 +48,14 @@
 
     operations: Sequence[protocol.Operation]
     conditions: list[protocol.Condition]
-    marker: str | None
-    may_be_applied: bool = False  # an attempt had no answer
+    marker: str | None  # see ``ClaimWriter``
+    may_be_applied: bool = False  # the result of an earlier attempt is unknown
 
     def result_of(self, conflict: TransactionConflictError) -> ClaimResult:
-        """Tell an attempt that failed because an earlier one was applied from a true conflict."""
+        """Return the result of an attempt whose conditions failed.
+
+        A failed marker after an attempt with an unknown result shows that the claim was applied.
+        """
         failed = tuple(key.removeprefix(KEY_PREFIX) for key in conflict.failed_keys)
         if self.may_be_applied and self.marker is not None and self.marker in failed:
             return ClaimResult(ClaimOutcome.COMMITTED)
@@ -62,21 +65,20 @@
 
 
 class ClaimWriter:
-    """Writes claims one at a time and repeats each until its result is known.
+    """Writes claims one at a time and retries each until its result is known.
 
-    A claim may name a marker: a key that must be absent and that the claim creates. A repeated
-    attempt that fails on the marker proves that an earlier attempt was applied, which makes a claim
-    an idempotent request.
+    A claim may name a marker: a key that must be absent and that the claim creates. The marker is
+    an idempotency key: a retry that fails on it proves that an earlier attempt was applied.
 
-    A claim keeps the epoch in which it was requested. Its content was decided on the state as known
-    in that epoch. If the leadership is lost and won again while the claim waits for its turn or for
-    an answer, another leader may have acted in between, and the claim must not be applied under
-    the newer fence; it ends as ``FENCED`` instead. The fencing token may be raised meanwhile,
-    because nobody else has led in between.
+    A claim is only valid in the epoch in which it was requested, because it is based on the state
+    known in that epoch. If this controller loses the leadership and is elected again while the
+    claim is queued or unanswered, another leader may have acted in between. The claim must not be
+    applied under the newer fence and ends as ``FENCED``. The fencing token may be raised meanwhile,
+    because no other controller leads within an epoch.
     """
 
     def __init__(self, client: StateClient, fence: Callable[[], Fence | None]) -> None:
-        """``fence`` returns the present fence, or None without the right to write."""
+        """``fence`` returns the current fence, or None if this controller may not write."""
         self._client = client
         self._fence = fence
         self._lock = asyncio.Lock()
@@ -95,7 +97,7 @@
         """Write a claim and return its result; never raises an error of the state service.
 
         Args:
-            operations: What is to be written, with whole keys.
+            operations: The writes, with keys that include the prefix.
             marker: A key (without prefix) that must be absent and that the operations create.
             absent_keys: Further keys (without prefix) that must be absent.
         """
@@ -104,27 +106,27 @@
         claim = _Claim(operations, conditions, marker)
         requested_under = self._fence()
         async with self._lock:
-            return await self._repeat(claim, requested_under)
+            return await self._write_until_known(claim, requested_under)
 
-    async def _repeat(self, claim: _Claim, requested_under: Fence | None) -> ClaimResult:
-        """Attempt a claim until its result is known or the epoch of its request is over."""
+    async def _write_until_known(self, claim: _Claim, requested_under: Fence | None) -> ClaimResult:
+        """Retry a claim until its result is known or the epoch in which it was requested ends."""
         while True:
             fence = self._fence()
             if requested_under is None or fence is None or fence.epoch != requested_under.epoch:
                 return ClaimResult(ClaimOutcome.FENCED)
-            result = await self._attempt(claim, fence)
+            result = await self._try_once(claim, fence)
             if result is not None:
                 return result
             await asyncio.sleep(CLAIM_RETRY_INTERVAL_S)
 
-    async def _attempt(self, claim: _Claim, fence: Fence) -> ClaimResult | None:
-        """Attempt a claim once; None if it has to be repeated."""
+    async def _try_once(self, claim: _Claim, fence: Fence) -> ClaimResult | None:
+        """Attempt a claim once; return None if it has to be retried."""
         try:
             await self._client.transact(fence.conditions + claim.conditions, claim.operations)
         except TransactionConflictError as conflict:
             return claim.result_of(conflict)
         except StateRejectedError as error:
-            return self._reject(claim, error)
+            return self._on_rejected(claim, error)
         except StateResultUnknownError as error:
             log.info("claim %s: result unknown: %s", claim.marker, error)
             claim.may_be_applied = True
@@ -135,10 +137,11 @@
         return ClaimResult(ClaimOutcome.COMMITTED)
 
     @staticmethod
-    def _reject(claim: _Claim, error: StateRejectedError) -> ClaimResult:
-        """End a claim that would be rejected for ever while all others wait behind it.
+    def _on_rejected(claim: _Claim, error: StateRejectedError) -> ClaimResult:
+        """End a rejected claim: a retry would be rejected again and block all later claims.
 
-        If an earlier attempt was applied, its records show it later; no command was sent for it.
+        If an earlier attempt was applied, the watch shows its records; no command was sent
+        for it.
         """
         log.error("claim %s rejected: %s", claim.marker, error)
         return ClaimResult(ClaimOutcome.CONFLICT)
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -1,9 +1,9 @@
-"""The election of the leader as a state machine.
+"""Leader election as a state machine.
 
-Two controllers may believe for a moment that they lead. Safety does not depend on the lease but on
-two conditions that are checked elsewhere: the state service applies a claim only while the leader
-keys are as its writer left them (``Election.fence``), and workers refuse commands with a lower
-fencing token than they have seen.
+Two controllers may briefly both believe that they lead. Safety does not depend on the lease but on
+two checks made elsewhere: the state service applies a claim only if the leader keys are unchanged
+since the claim's writer wrote them (``Election.fence``), and workers refuse commands whose fencing
+token is lower than the highest they have seen.
 """
 
 from __future__ import annotations
@@ -31,19 +31,20 @@
 
 log = logging.getLogger(__name__)
 
-# Delays to the next step; whatever may change the role meanwhile sets ``Election._wake``.
+# Delays before the next step. Events that may change the role set ``Election._wake``, which ends
+# the delay early.
 FOLLOWER_STEP_INTERVAL_S = 0.2
 STATE_SERVICE_RETRY_S = 0.3
 RENEW_RETRY_S = 0.25
-CHANGED_ROLE_STEP_S = 0.05  # after a campaign or an expired lease
+ROLE_CHANGE_STEP_S = 0.05  # after a campaign or an expired lease
 FAILOVER_RETRY_S = 0.2  # between two attempts to read the state after the election
-MAX_CAMPAIGN_DELAY_S = 0.15  # random, so that candidates do not all campaign at once
+MAX_CAMPAIGN_DELAY_S = 0.15  # of a random delay, so that candidates do not campaign all at once
 
 
 class Election(LeadershipState):
-    """This controller's part in the election.
+    """Takes part in the election and changes this controller's role.
 
-    Whatever changes the role happens here; what a role allows is said in ``LeadershipState``.
+    ``LeadershipState`` defines what each role allows.
     """
 
     def __init__(
@@ -55,16 +56,16 @@
         randomness: random.Random,
         listener: LeadershipListener,
     ) -> None:
-        """Begin as a follower; ``run`` takes part in the election.
+        """Start as a follower; ``run`` takes part in the election.
 
         Args:
             node_name: This controller's host name.
             client: The state service.
             watch_cache: Its listener must pass changes of the leader keys to ``on_key``.
-            lease_grace_s: How long an active controller answers workers without news from the
-                state service.
-            randomness: Draws delays and nonces.
-            listener: Notified of changes.
+            lease_grace_s: How long an active controller goes on answering workers after its last
+                contact with the state service.
+            randomness: Source of delays and nonces.
+            listener: Notified of changes of the role and the fencing token.
         """
         super().__init__(watch_cache, lease_grace_s)
         self._node_name = node_name
@@ -73,27 +74,29 @@
         self._listener = listener
         self._campaign_writer = Campaign(client, watch_cache, lambda: self.leader)
         self._token_raiser = FencingTokenRaiser(self, client, watch_cache)
-        self._state_loaded = False  # since this controller's newest election
-        self._nonce = ""  # of its newest campaign, also of a lost one
+        self._state_loaded = False  # whether the failover of the latest election has completed
+        self._nonce = ""  # of this controller's latest campaign, won or lost
         self._stored_epoch = 0  # the epoch key as last read
         self._stored_epoch_revision = 0
         self._abstain_until = 0.0
-        self._failovers = BackgroundTasks()
-        self._wake = asyncio.Event()  # ends the delay to the next step
+        self._failover_tasks = BackgroundTasks()
+        self._wake = asyncio.Event()  # ends the delay before the next step
 
-    # ---- changes of the role -------------------------------------------------------------------
+    # ---- role changes --------------------------------------------------------------------------
 
     def _transition(self, target: Role, reason: str) -> None:
-        """Change the role. Every change happens here.
+        """Change the role; every change goes through this method.
 
         Raises:
-            IllegalTransitionError: No such change is defined.
+            IllegalTransitionError: ``TRANSITIONS`` has no such change.
         """
         if target is self.role:
             return
         if target not in TRANSITIONS[self.role]:
-            raise IllegalTransitionError(f"{self.role.value} to {target.value}")
-        # Campaigns without success are frequent while the state service is down.
+            raise IllegalTransitionError(
+                f"no transition from role {self.role.value} to {target.value}"
+            )
+        # Campaigns fail often while the state service is down, so they are logged at debug level.
         failed_campaign = target is Role.CANDIDATE or (
             self.role is Role.CANDIDATE and target is Role.FOLLOWER
         )
@@ -113,27 +116,27 @@
         self._wake.set()
 
     def observe_epoch(self, epoch: int) -> None:
-        """Take note of an epoch or fencing token that somebody knows; step down if it is newer.
+        """Record an epoch or fencing token seen in a message; step down if it is newer.
 
-        A token that this controller may have written itself shows no newer leader.
+        A token that this controller may have written itself is no evidence of a newer leader.
         """
         self.highest_known_epoch = max(self.highest_known_epoch, epoch)
-        is_own = epoch <= self.fencing_token or epoch == self._token_raiser.pending
+        is_own = epoch <= self.fencing_token or epoch == self._token_raiser.unconfirmed_token
         if self.role in ACTIVE_ROLES and not is_own:
-            self._step_down(f"epoch {epoch} is newer")
+            self._step_down(f"newer epoch {epoch} seen")
 
     def on_process_resumed(self) -> None:
-        """Stop commanding after a process pause that outlasted the lease.
+        """Enter the lease grace period after a process pause that outlasted the lease.
 
         Another controller may have been elected meanwhile. Until the state service has answered,
-        this one neither commands nor calls itself the leader.
+        this one sends no commands and does not report itself as the leader.
         """
         if self.role in (Role.LEADING, Role.FAILING_OVER) and self._now() >= self._lease.expires_at:
-            self._transition(Role.LEASE_GRACE, "process pause beyond the lease")
+            self._transition(Role.LEASE_GRACE, "process pause outlasted the lease")
         self._wake.set()
 
     async def resign(self, reason: str, abstain_s: float) -> None:
-        """Step down, give the lease back and do not campaign for ``abstain_s``."""
+        """Step down, revoke the lease and do not campaign for ``abstain_s`` seconds."""
         self._abstain_until = self._now() + abstain_s
         lease_id = self._lease.lease_id
         self._step_down(reason)
@@ -141,16 +144,16 @@
             await self._revoke(lease_id)
 
     async def _revoke(self, lease_id: int) -> None:
-        """Give a lease back; without success it expires by itself."""
+        """Revoke a lease; if that fails, the lease expires at the end of its time to live."""
         try:
             await self._client.revoke_lease(lease_id)
         except (StateUnavailableError, StateResultUnknownError) as error:
-            log.debug("leadership: lease %d not given back: %s", lease_id, error)
+            log.debug("leadership: lease %d not revoked: %s", lease_id, error)
 
-    # ---- the leader keys -----------------------------------------------------------------------
+    # ---- leader keys ---------------------------------------------------------------------------
 
     def on_key(self, key: str, value: StoredValue, revision: int) -> None:
-        """Take note of a change of a leader key; ``value`` is None if the key was deleted."""
+        """Apply a change of a leader key; ``value`` is None if the key was deleted."""
         if key == EPOCH_KEY and value is not None:
             self._on_epoch_key(int(value), revision)
         elif key == LEADER_KEY:
@@ -159,7 +162,7 @@
         self._wake.set()
 
     def _on_epoch_key(self, epoch: int, revision: int) -> None:
-        # Whose epoch it is follows from the leader key, which is written in the same transaction.
+        # The leader key, written in the same transaction, shows which controller has the epoch.
         self._stored_epoch, self._stored_epoch_revision = epoch, revision
         self.highest_known_epoch = max(self.highest_known_epoch, epoch)
 
@@ -167,21 +170,21 @@
         self.leader = leader
         is_own = leader is not None and leader.nonce == self._nonce
         if self.role in ACTIVE_ROLES and not is_own and revision > self._fence_revision:
-            self._step_down("the leader key is gone or another controller's")
+            self._step_down("the leader key was deleted or another controller wrote it")
         elif self.role in ACTIVE_ROLES and leader is not None and is_own:
             self.adopt_token(leader.epoch, revision)
         if leader is not None:
             self.observe_epoch(leader.epoch)
 
-    # ---- the loop ------------------------------------------------------------------------------
+    # ---- loop ----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Take part in the election for as long as the process lives."""
+        """Take part in the election until the task is cancelled."""
         while True:
             try:
                 delay_s = await self._step()
             except (StateUnavailableError, StateResultUnknownError) as error:
-                log.debug("leadership: state service: %s", error)
+                log.debug("leadership: state service failed: %s", error)
                 delay_s = STATE_SERVICE_RETRY_S
             self._wake.clear()
             try:
@@ -191,7 +194,7 @@
                 pass
 
     async def _step(self) -> float:
-        """Do what the role demands; return the seconds until the next step."""
+        """Renew the lease or campaign; return the seconds until the next step."""
         if self.role in ACTIVE_ROLES:
             return await self._renew_lease()
         if not self._watch_cache.loaded.is_set() or self._now() < self._abstain_until:
@@ -206,16 +209,16 @@
         if not await self._watch_cache.refresh() or self.leader is not None:
             return FOLLOWER_STEP_INTERVAL_S
         await self._campaign()
-        return CHANGED_ROLE_STEP_S
+        return ROLE_CHANGE_STEP_S
 
     def _is_own_earlier_incarnation(self, leader: LeaderRecord) -> bool:
-        """Whether the leader is this node before a restart: it is dead, its lease of no use."""
+        """Whether the leader key is from this node before a restart, so that its leader is dead."""
         return leader.node == self._node_name and leader.nonce != self._nonce
 
     # ---- candidate -----------------------------------------------------------------------------
 
     async def _campaign(self) -> None:
-        """Try once to be elected."""
+        """Campaign once."""
         self._transition(Role.CANDIDATE, "there is no leader")
         requested_at = self._now()
         try:
@@ -240,20 +243,20 @@
             raise CampaignLostError("a newer epoch is known")
 
     def _begin_leadership(self, record: LeaderRecord, lease: LeaderLease, revision: int) -> None:
-        """Begin to lead with what the campaign wrote."""
+        """Start the failover after a campaign that succeeded."""
         self.epoch = self.fencing_token = self.highest_known_epoch = record.epoch
-        self._token_raiser.pending = 0
+        self._token_raiser.unconfirmed_token = 0
         self._lease = lease
         self._fence_revision = revision
         self.elected_at = self._now()
         self._state_loaded = False
         self._transition(Role.FAILING_OVER, "elected")
-        self._failovers.start(self._fail_over())
+        self._failover_tasks.start(self._fail_over())
 
     # ---- leader --------------------------------------------------------------------------------
 
     async def _fail_over(self) -> None:
-        """Read what earlier leaders wrote, then lead; end early if the role changes meanwhile."""
+        """Read what earlier leaders wrote, then lead; return early if the role changes."""
         while self.role is Role.FAILING_OVER:
             if await self._watch_cache.refresh():
                 break
@@ -262,17 +265,17 @@
             await self._listener.on_elected()
         if self.role is Role.FAILING_OVER:
             self._state_loaded = True
-            self._transition(Role.LEADING, "state reloaded, workers being read")
+            self._transition(Role.LEADING, "state reloaded, reading worker status")
 
     async def _renew_lease(self) -> float:
-        """Renew the lease once; return the seconds until the next renewal."""
+        """Renew the lease once; return the seconds until the next step."""
         lease = self._lease
         try:
             renewed_at = await lease.renew(self._client)
         except LeaseExpiredError:
             if self._is_active_with(lease):
                 self._step_down("the lease has expired")
-            return CHANGED_ROLE_STEP_S
+            return ROLE_CHANGE_STEP_S
         except (StateUnavailableError, StateResultUnknownError) as error:
             self._on_renewal_failed(error)
             return RENEW_RETRY_S
@@ -283,50 +286,50 @@
         return RENEW_INTERVAL_S
 
     def _is_active_with(self, lease: LeaderLease) -> bool:
-        """Whether the lease is still that of the present leadership."""
+        """Whether this controller is active with this lease, not with that of a later election."""
         return self.role in ACTIVE_ROLES and lease is self._lease
 
     async def _leave_lease_grace(self) -> None:
-        """Lead again with a lease that turned out not to have expired."""
+        """Resume leading after a renewal showed that the lease had not expired."""
         if not self._state_loaded:
             # The outage interrupted the failover, which has to be repeated.
-            self._transition(Role.FAILING_OVER, "the lease was renewed after all")
-            self._failovers.start(self._fail_over())
-        # What others wrote meanwhile has to be read before anything is commanded.
+            self._transition(Role.FAILING_OVER, "the lease had not expired and was renewed")
+            self._failover_tasks.start(self._fail_over())
+        # Writes of other controllers have to be read before any command is sent.
         elif await self._watch_cache.refresh() and self.role is Role.LEASE_GRACE:
-            self._transition(Role.LEADING, "the lease was renewed after all")
+            self._transition(Role.LEADING, "the lease had not expired and was renewed")
 
     def _on_renewal_failed(self, error: StateUnavailableError | StateResultUnknownError) -> None:
-        """Enter the lease grace period if the lease may have expired, and step down after it."""
+        """Enter the lease grace period if the lease may have expired; step down when it ends."""
         now = self._now()
         if self.role not in ACTIVE_ROLES or now <= self._lease.expires_at:
             return
         if now > self._lease_grace_end():
-            self._step_down("the lease grace period is over")
+            self._step_down("the lease grace period has ended")
         elif self.role is not Role.LEASE_GRACE:
-            self._transition(Role.LEASE_GRACE, f"state service: {error}")
+            self._transition(Role.LEASE_GRACE, f"lease not renewed: {error}")
 
     # ---- fencing token -------------------------------------------------------------------------
 
     async def raise_fencing_token(self) -> bool:
         """Raise the token, so that workers refuse every command sent so far.
 
-        Returns whether the token is higher now. To be called while no claim is in flight; see
+        Returns whether the token was raised. Must not be called while a claim is in flight; see
         ``FencingTokenRaiser.raise_token``.
         """
         return await self._token_raiser.raise_token()
 
     def record_with_token(self, token: int) -> LeaderRecord | None:
-        """Return the record of the present leadership with another token, or None without one."""
+        """Return this controller's leader record with another token, or None without a lease."""
         lease_id = self._lease.lease_id
         if lease_id is None:
             return None
         return LeaderRecord(self._node_name, self._nonce, token, lease_id)
 
     def adopt_token(self, token: int, revision: int) -> None:
-        """Use a token that is written in the leader keys under this controller's lease.
+        """Use a higher token that the leader keys hold under this controller's lease.
 
-        It may be learnt from the answer to the write or from the watch, whichever comes first.
+        Called for the response to the write and for the watch; the first of the two takes effect.
         """
         if token <= self.fencing_token:
             return
@@ -338,6 +341,6 @@
         )
         self.fencing_token = token
         self.highest_known_epoch = max(self.highest_known_epoch, token)
-        self._token_raiser.pending = 0
+        self._token_raiser.unconfirmed_token = 0
         self._fence_revision = revision
         self._listener.on_fencing_token_raised(token)
--- a/petrelthread/leadership/fence.py
+++ b/petrelthread/leadership/fence.py
@@ -1,4 +1,4 @@
-"""The right to write to the state service as the leader."""
+"""The fence: transaction conditions that reject writes of a deposed leader."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Fence(NamedTuple):
-    """Conditions of a transaction that hold only while this controller leads.
+    """Conditions of a transaction that are met only while this controller leads.
 
-    They name the revisions of the leader keys as this controller wrote them, so the state service
-    itself refuses the transaction of a leader that was deposed without knowing it.
+    They require the revisions at which this controller wrote the leader keys, so that the state
+    service refuses the transaction of a leader that does not know that it was deposed.
     """
 
-    epoch: int  # of the election; a later election of the same controller has another one
+    epoch: int  # of the election; each later election of the same controller has a higher one
     conditions: list[protocol.Condition]
--- a/petrelthread/leadership/fencing_token.py
+++ b/petrelthread/leadership/fencing_token.py
@@ -26,7 +26,7 @@
 
 
 class TokenHolder(Protocol):
-    """What raising the token needs of the election."""
+    """The part of ``Election`` that ``FencingTokenRaiser`` uses."""
 
     role: Role
     epoch: int
@@ -34,7 +34,7 @@
     highest_known_epoch: int
 
     def fence(self) -> Fence | None:
-        """Return the conditions of a write, or None without the right to write."""
+        """Return the conditions of a write, or None if this controller may not write."""
 
     def record_with_token(self, token: int) -> LeaderRecord | None:
         """Return the leader record with another token, or None without a lease."""
@@ -49,8 +49,8 @@
 class FencingTokenRaiser:
     """Writes a higher fencing token into the leader keys, under the lease and fence of the leader.
 
-    Workers refuse every command with a lower token than the highest they have seen, so a raised
-    token makes all commands that were sent before void.
+    Workers refuse every command whose token is lower than the highest they have seen, so raising
+    the token invalidates all commands sent before.
     """
 
     def __init__(self, holder: TokenHolder, client: StateClient, watch_cache: WatchCache) -> None:
@@ -58,19 +58,19 @@
         self._holder = holder
         self._client = client
         self._watch_cache = watch_cache
-        # A token that may have been written although no answer came. Seeing it somewhere does not
-        # show another leader.
-        self.pending = 0
+        # A token that may have been written although its write is not confirmed; 0 if there is
+        # none. Seeing this token is no evidence of another leader.
+        self.unconfirmed_token = 0
 
     async def raise_token(self) -> bool:
-        """Raise the token by one; return whether it is higher now.
+        """Raise the token by one; return whether it was raised.
 
-        Repeats a write without an answer until its result is known or the leadership ends. To be
-        called while no claim is in flight, because the conditions of claims change with it.
+        Retries the write until its result is known or the leadership ends. Must not be called while
+        a claim is in flight, because it changes the fence that claims depend on.
         """
         holder = self._holder
         epoch, before = holder.epoch, holder.fencing_token
-        self.pending = before + 1
+        self.unconfirmed_token = before + 1
         while (
             holder.role is Role.LEADING and holder.epoch == epoch and holder.fencing_token == before
         ):
@@ -84,7 +84,7 @@
     async def write(self, token: int) -> bool:
         """Attempt to write the token once.
 
-        Returns True if the result is known: the token is written, or never will be.
+        Returns True if the result is final: the token is written, or never will be.
         """
         fence, record = self._holder.fence(), self._holder.record_with_token(token)
         if fence is None or record is None:
@@ -92,29 +92,29 @@
         try:
             revision = await self._client.transact(fence.conditions, leader_operations(record))
         except StateRejectedError as error:
-            return self._give_up(token, error)
+            return self._on_rejected(token, error)
         except (StateResultUnknownError, StateUnavailableError) as error:
-            log.debug("leadership: token %d not written yet: %s", token, error)
+            log.debug("leadership: token %d not confirmed as written: %s", token, error)
             await self._watch_cache.refresh()
             return self._holder.fencing_token >= token
         except (TransactionConflictError, LeaseExpiredError):
-            return await self._settle_conflict()
+            return await self._resolve_conflict()
         if self._holder.role in ACTIVE_ROLES and self._holder.epoch == fence.epoch:
             self._holder.adopt_token(token, revision)
         return True
 
-    def _give_up(self, token: int, error: StateRejectedError) -> bool:
+    def _on_rejected(self, token: int, error: StateRejectedError) -> bool:
         log.error("leadership: token %d rejected: %s", token, error)
-        self.pending = 0
+        self.unconfirmed_token = 0
         return True
 
-    async def _settle_conflict(self) -> bool:
-        """Read the leader keys, which say whether an earlier attempt was applied.
+    async def _resolve_conflict(self) -> bool:
+        """Read the leader keys after a failed write; return whether they could be read.
 
-        Otherwise this controller does not lead any more.
+        They show whether an earlier attempt was applied. If not, this controller no longer leads.
         """
         if not await self._watch_cache.refresh():
             return False
-        self.pending = 0
+        self.unconfirmed_token = 0
         self._holder.observe_epoch(self._holder.highest_known_epoch)
         return True
--- a/petrelthread/leadership/leader_keys.py
+++ b/petrelthread/leadership/leader_keys.py
@@ -1,4 +1,4 @@
-"""The two keys that say who leads. They are always written together, in one transaction."""
+"""The leader key and the epoch key, which are always written in one transaction."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from petrelthread.state import KeyKind, LeaderRecord
 from petrelthread.store import KEY_PREFIX
 
-LEADER_KEY = KeyKind.LEADER.value  # tied to the leader's lease, so that it goes with it
-EPOCH_KEY = KeyKind.EPOCH.value  # the newest epoch or fencing token; it only rises
+LEADER_KEY = KeyKind.LEADER.value  # deleted when the leader's lease ends
+EPOCH_KEY = KeyKind.EPOCH.value  # highest epoch or fencing token; never decreases
 
 
 def leader_conditions(leader_revision: int, epoch_revision: int) -> list[protocol.Condition]:
-    """Return the conditions that both keys are as last written; revision 0 means absent."""
+    """Return the conditions that both keys have these revisions; revision 0 means absent."""
     return [
         protocol.Condition(KEY_PREFIX + LEADER_KEY, leader_revision),
         protocol.Condition(KEY_PREFIX + EPOCH_KEY, epoch_revision),
--- a/petrelthread/leadership/leader_lease.py
+++ b/petrelthread/leadership/leader_lease.py
@@ -1,4 +1,4 @@
-"""The lease to which the leader key is tied, as its holder sees it."""
+"""The lease to which the leader key is attached, as seen by the lease's holder."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 LEASE_TTL_S = 3.0
 RENEW_INTERVAL_S = 0.75
 RENEW_TIMEOUT_S = 0.9
-MAX_CLOCK_DRIFT = 1.001  # how much faster the state service's clock may run than ours
+MAX_CLOCK_DRIFT = 1.001  # the state service's clock may run faster than ours by this factor
 
 
 @dataclass(slots=True)
 class LeaderLease:
-    """A lease and the newest evidence that it has not expired.
+    """A lease and the latest evidence that it has not expired.
 
-    The state service counts the time to live from the moment at which it carried out the newest
-    renewal. The holder counts from the moment at which it sent that renewal and allows for clock
-    drift, so that the lease expires here first.
+    The state service measures the time to live from when it processed the latest renewal. The
+    holder measures it from when it sent that renewal and allows for clock drift, so that the lease
+    expires at the holder first.
     """
 
     lease_id: int | None = None  # None before the first election
-    renewed_at: float = 0.0  # when the newest successful request was sent, by the loop's clock
+    renewed_at: float = 0.0  # event loop time at which the latest successful request was sent
 
     @property
     def expires_at(self) -> float:
-        """Until when no other controller can have been elected."""
+        """Event loop time before which no other controller can have been elected."""
         return self.renewed_at + LEASE_TTL_S / MAX_CLOCK_DRIFT
 
     async def renew(self, client: StateClient) -> float:
-        """Ask the state service for a renewal; return the time at which it was requested.
+        """Renew the lease; return the event loop time at which the request was sent.
 
         Raises:
-            LeaseExpiredError: The lease is over.
+            LeaseExpiredError: The lease has expired.
             StateUnavailableError: The lease was not renewed.
             StateResultUnknownError: The lease may have been renewed.
             ValueError: There is no lease.
--- a/petrelthread/leadership/roles.py
+++ b/petrelthread/leadership/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a controller and the changes between them."""
+"""The roles of a controller and the transitions between them."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class Role(Enum):
-    """What a controller is at present. The administration API shows the values."""
+    """The role of a controller. The administration API shows the values."""
 
     FOLLOWER = "follower"
-    CANDIDATE = "candidate"  # campaigning
-    FAILING_OVER = "taking over"  # elected, but the state is not reloaded yet
+    CANDIDATE = "candidate"  # a campaign is in progress
+    FAILING_OVER = "taking over"  # elected; the state is being reloaded
     LEADING = "leading"
-    LEASE_GRACE = "holding over"  # the lease may have expired, but no newer epoch is known
+    LEASE_GRACE = "holding over"  # the lease may have expired; no newer epoch is known
 
 
 TRANSITIONS = {
@@ -23,20 +23,20 @@
     Role.LEADING: {Role.LEASE_GRACE, Role.FOLLOWER},
     Role.LEASE_GRACE: {Role.LEADING, Role.FAILING_OVER, Role.FOLLOWER},
 }
-ACTIVE_ROLES = (Role.FAILING_OVER, Role.LEADING, Role.LEASE_GRACE)  # those of an elected controller
+ACTIVE_ROLES = (Role.FAILING_OVER, Role.LEADING, Role.LEASE_GRACE)  # of an elected controller
 
 
 class LeadershipListener(Protocol):
-    """What the rest of the controller does when its leadership changes."""
+    """Callbacks by which the rest of the controller follows changes of its leadership."""
 
     def on_role_changed(self, role: Role) -> None:
-        """Adapt to a new role. Called within the change, before anything else happens."""
+        """Adapt to a new role. Called synchronously, right after the role is assigned."""
 
     async def on_elected(self) -> None:
-        """Rebuild what a leader keeps in memory, from a state that was read after the election.
+        """Rebuild the leader's in-memory state from what was read after the election.
 
         The role is ``FAILING_OVER``; it becomes ``LEADING`` once this returns.
         """
 
     def on_fencing_token_raised(self, token: int) -> None:
-        """Use a higher fencing token from now on; the epoch stays."""
+        """Send commands with a higher fencing token from now on; the epoch is unchanged."""
--- a/petrelthread/leadership/test_claim_writer.py
+++ b/petrelthread/leadership/test_claim_writer.py
@@ -1,4 +1,4 @@
-"""Claims that are rejected, unanswered, or overtaken by another epoch."""
+"""Claims that are rejected or unanswered, or whose epoch ends before they are written."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     return StateClient(request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0))
 
 
-def test_a_claim_beyond_a_limit_is_not_repeated_and_holds_up_no_other() -> None:
-    """Repeated unchanged it would be refused for ever, with every other claim behind it."""
-    asked: list[str] = []
+def test_a_rejected_claim_is_not_retried_and_does_not_block_the_next() -> None:
+    """Every retry of a claim that exceeds a size limit is rejected, and claims are sequential."""
+    requested_keys: list[str] = []
 
     async def request(
         addr: str, method: str, target: str, body: dict[str, Any], timeout: float
     ) -> ClientResponse:
-        asked.append(body["apply"][0]["put"])
-        return VALUE_TOO_LARGE if len(asked) == 1 else COMMITTED
+        requested_keys.append(body["apply"][0]["put"])
+        return VALUE_TOO_LARGE if len(requested_keys) == 1 else COMMITTED
 
     async def main() -> None:
         claims = ClaimWriter(state_client(request), lambda: Fence(1, []))
@@ -35,24 +35,24 @@
         assert large.outcome is ClaimOutcome.CONFLICT
         small = await claims.claim([protocol.PutOperation("small", 1)], "small")
         assert small.outcome is ClaimOutcome.COMMITTED
-        assert asked == ["large", "small"]
+        assert requested_keys == ["large", "small"]
 
     play(main())
 
 
-def test_a_claim_is_never_sent_with_the_fence_of_a_later_epoch() -> None:
-    """Its content was decided on the state as known in its own epoch.
+def test_an_unanswered_claim_is_fenced_rather_than_retried_in_a_later_epoch() -> None:
+    """The claim is based on the state known in the epoch in which it was requested.
 
-    While it went unanswered, the leadership was lost and won again; another leader may have placed
-    tasks in between.
+    The controller loses the leadership and is elected again while the claim is unanswered, so
+    another leader may have placed tasks in between.
     """
     fences = [Fence(1, [protocol.Condition("pt/lead", 7)])]
-    sent: list[int] = []
+    sent_revisions: list[int] = []
 
     async def request(
         addr: str, method: str, target: str, body: dict[str, Any], timeout: float
     ) -> ClientResponse:
-        sent.append(body["when"][0]["stamp"])
+        sent_revisions.append(body["when"][0]["stamp"])
         fences.append(Fence(2, [protocol.Condition("pt/lead", 9)]))
         raise NoResponseError("timeout", request_sent=True)
 
@@ -61,6 +61,6 @@
         async with asyncio.timeout(5.0):
             result = await claims.claim([protocol.PutOperation("pt/r/1", [])], "r/1")
         assert result.outcome is ClaimOutcome.FENCED
-        assert sent == [7]
+        assert sent_revisions == [7]
 
     play(main())
--- a/petrelthread/leadership/test_election.py
+++ b/petrelthread/leadership/test_election.py
@@ -1,4 +1,4 @@
-"""Elections, and what each role allows."""
+"""Election: epochs, role transitions, and what a role allows during a partition."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.virtual import play
 
 
-def test_what_each_role_may_do_while_the_state_service_is_lost() -> None:
+def test_a_partitioned_leader_only_answers_workers_until_the_grace_period_ends() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         name = await simulation.wait_for_leader()
@@ -23,22 +23,22 @@
         simulation.net.partitions |= {
             frozenset((name, other)) for other in ("state", *NODES) if other != name
         }
-        lost_at = asyncio.get_running_loop().time()
+        partitioned_at = asyncio.get_running_loop().time()
         await asyncio.sleep(5.0)
         assert election.role is Role.LEASE_GRACE
         assert not election.is_leader  # no commands
         assert election.fence() is None  # no claims
-        assert election.may_answer_workers  # keeps the workers' leases from expiring
+        assert election.may_answer_workers  # renews the workers' leases
         while election.may_answer_workers:
             await asyncio.sleep(0.1)
-        held_s = asyncio.get_running_loop().time() - lost_at
-        limit_s = simulation.nodes[name].settings.lease_grace_s
-        assert limit_s - 2.0 < held_s <= limit_s + 0.2
+        answered_s = asyncio.get_running_loop().time() - partitioned_at
+        grace_s = simulation.nodes[name].settings.lease_grace_s
+        assert grace_s - 2.0 < answered_s <= grace_s + 0.2
 
     play(scenario())
 
 
-def test_a_newer_epoch_from_anyone_ends_the_leadership() -> None:
+def test_observing_a_newer_epoch_ends_the_leadership() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         name = await simulation.wait_for_leader()
@@ -52,7 +52,7 @@
     play(scenario())
 
 
-def test_two_candidates_never_hold_the_same_epoch() -> None:
+def test_each_epoch_belongs_to_one_election_only() -> None:
     async def scenario(seed: int) -> None:
         simulation = Simulation(seed)
         for _ in range(4):
@@ -61,21 +61,21 @@
             await asyncio.sleep(simulation.random.uniform(0.0, 0.5))
             simulation.boot(name)
             await asyncio.sleep(simulation.random.uniform(0.0, 5.0))
-        held: dict[int, set[str]] = {}
+        nonces_by_epoch: dict[int, set[str]] = {}
         for key, value in simulation.state_service.puts:
             if key == "pt/lead":
-                held.setdefault(value["epoch"], set()).add(value["nonce"])
-        assert len(held) >= 4
-        assert all(len(nonces) == 1 for nonces in held.values())
+                nonces_by_epoch.setdefault(value["epoch"], set()).add(value["nonce"])
+        assert len(nonces_by_epoch) >= 4
+        assert all(len(nonces) == 1 for nonces in nonces_by_epoch.values())
 
     for seed in range(5):
         play(scenario(seed))
 
 
-def test_a_leader_deposed_by_a_reload_can_be_elected_again() -> None:
-    """A reload reports the epoch key before the leader key.
+def test_a_leader_deposed_during_a_reload_can_be_elected_again() -> None:
+    """A reload reports the epoch key before the leader key, so the leader still has its old role.
 
-    The epoch's revision has to be kept all the same: campaigns compare it.
+    The revision of the epoch key has to be recorded even so, because campaigns compare it.
     """
 
     async def scenario() -> None:
@@ -104,7 +104,7 @@
     play(scenario())
 
 
-def test_a_role_change_that_is_not_defined_is_an_error() -> None:
+def test_an_undefined_role_transition_raises_an_error() -> None:
     async def scenario() -> None:
         election = Simulation().nodes[NODES[0]].election
         assert election.role is Role.FOLLOWER
--- a/petrelthread/leadership/test_leadership_state.py
+++ b/petrelthread/leadership/test_leadership_state.py
@@ -1,4 +1,4 @@
-"""What each role allows, on which evidence, and until when."""
+"""What each role allows, on which evidence, and how long that evidence is valid."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.virtual import play
 
 LEASE_GRACE_S = 10.0
-MARGIN_S = 0.001  # less than the allowance for clock drift
+MARGIN_S = 0.001  # shorter than the allowance for clock drift
 
 
 def now() -> float:
@@ -22,10 +22,10 @@
 
 
 def state_in(role: Role, renewed_at: float, current_as_of: float) -> LeadershipState:
-    """A state with evidence of the given times."""
+    """A controller in a role, with a lease renewal and a state read at the given times."""
 
     async def request(*_args: object, **_kwargs: object) -> ClientResponse:
-        raise AssertionError("nothing is asked")
+        raise AssertionError("unexpected request to the state service")
 
     client = StateClient(request, "state:1", TokenBucket(1.0, 1.0), TokenBucket(1.0, 1.0))
     watch_cache = WatchCache(client, lambda key, value, revision: None, 0.15)
@@ -60,7 +60,7 @@
     play(scenario())
 
 
-def test_a_leader_leads_until_its_lease_expires_less_clock_drift() -> None:
+def test_a_leader_leads_until_its_lease_expiry_less_clock_drift() -> None:
     async def scenario() -> None:
         state = state_in(Role.LEADING, now(), now() + LEASE_TTL_S)
         await asyncio.sleep(LEASE_TTL_S / MAX_CLOCK_DRIFT - MARGIN_S)
@@ -68,12 +68,12 @@
         await asyncio.sleep(2 * MARGIN_S)
         assert not state.is_leader
         assert not state.may_start_tasks
-        assert state.fence() is not None  # the state service compares the conditions
+        assert state.fence() is not None  # the state service checks the conditions
 
     play(scenario())
 
 
-def test_a_leader_whose_last_complete_read_is_old_starts_no_tasks() -> None:
+def test_a_leader_whose_last_complete_read_is_stale_may_not_start_tasks() -> None:
     async def scenario() -> None:
         state = state_in(Role.LEADING, now(), now() - LEASE_TTL_S)
         assert state.is_leader
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("older", ["renewal", "read"])
-def test_workers_are_answered_for_the_grace_period_after_the_older_evidence(older: str) -> None:
+def test_workers_are_answered_until_a_grace_period_after_the_older_evidence(older: str) -> None:
     async def scenario() -> None:
         fresh, old = now() + LEASE_GRACE_S, now()
         renewed_at, current_as_of = (old, fresh) if older == "renewal" else (fresh, old)
