--- a/petrelthread/__init__.py
+++ b/petrelthread/__init__.py
@@ -1,3 +1,3 @@
-"""petrelthread: a cluster scheduler that never guesses what an unanswered command did."""
+"""petrelthread: a cluster scheduler that never assumes the result of an unanswered command."""
 
 __version__ = "0.1.0"
--- a/petrelthread/interner.py
+++ b/petrelthread/interner.py
@@ -1,4 +1,4 @@
-"""Interning: names from outside become small integers, which the scheduler works with."""
+"""Interning: maps external names to the small integers that the scheduler uses for them."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Interner:
-    """Indices for one kind of name: 0, 1, 2 and so on. They are never reused."""
+    """Assigns the indices 0, 1, 2 and so on to one kind of name; an index is never reused."""
 
     def __init__(self) -> None:
         self._index: dict[str, int] = {}
         self._names: list[str] = []
 
     def index(self, name: str) -> int:
-        """The index of a name; a new name gets the next one."""
+        """The index of a name; a new name gets the next free index."""
         found = self._index.get(name)
         if found is None:
             found = self._index[name] = len(self._names)
@@ -25,7 +25,7 @@
         return self._index.get(name)
 
     def name(self, index: int) -> str:
-        """The name of an index."""
+        """The name that has an index."""
         return self._names[index]
 
     def __len__(self) -> int:
@@ -35,7 +35,7 @@
 class InternedNames:
     """One interner for each kind of name.
 
-    Indices differ between controllers: they are not stored and never leave the process.
+    Indices differ between controllers, so they are neither stored nor sent.
     """
 
     def __init__(self, teams: Iterable[str] = (), zones: Iterable[str] = ()) -> None:
--- a/petrelthread/state/__init__.py
+++ b/petrelthread/state/__init__.py
@@ -1,4 +1,4 @@
-"""State shared by all controllers through the state service, and the form in which it is stored."""
+"""State that controllers share through the state service, and the format of its stored records."""
 
 from petrelthread.interner import InternedNames
 from petrelthread.state.cluster_state import ClusterState
--- a/petrelthread/state/attempt_table.py
+++ b/petrelthread/state/attempt_table.py
@@ -1,4 +1,4 @@
-"""Attempts that may be running, by machine and by round, and the resources that they use."""
+"""Table of the attempts that may be running, and the resources that they use."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class AttemptTable:
-    """Keeps attempts, the states of their tasks, and the usage of resources consistent.
+    """Keeps attempts, task states and resource usage consistent with each other.
 
     Attributes:
         attempts_by_machine: attempts that may be running, by machine and by task; machines
             without attempts are absent.
-        attempts_by_round: attempts that may be running, by number of the round's record, for all
-            records that exist.
-        usage: resources of the attempts that may be running.
+        attempts_by_round: attempts that may be running, by number of the round's record; every
+            existing record has an entry.
+        usage: resources used by the attempts that may be running, without exited ones.
     """
 
     def __init__(self) -> None:
@@ -33,29 +33,29 @@
         incarnation: int,
         state: OperationState = OperationState.UNKNOWN,
     ) -> Attempt:
-        """Add an attempt that may be running; it replaces the task's former one."""
+        """Add an attempt that may be running; it replaces the task's previous attempt."""
         attempt = Attempt(number, job, task, machine, incarnation, state)
         job.live_attempts[task] = attempt
         if job.final_status is None:
             job.task_states[task] = TASK_LIVE
-        on_machine = self.attempts_by_machine.setdefault(machine, {})
-        replaced = on_machine.get((job.index, task))
+        machine_attempts = self.attempts_by_machine.setdefault(machine, {})
+        replaced = machine_attempts.get((job.index, task))
         if replaced is not None and not replaced.has_exited:
             self.usage.remove(replaced)
-        on_machine[job.index, task] = attempt
+        machine_attempts[job.index, task] = attempt
         self.usage.add(attempt)
-        of_round = self.attempts_by_round.get(number)
-        if of_round is None:
-            of_round = self.attempts_by_round[number] = set()
-        of_round.add(attempt)
+        round_attempts = self.attempts_by_round.get(number)
+        if round_attempts is None:
+            round_attempts = self.attempts_by_round[number] = set()
+        round_attempts.add(attempt)
         return attempt
 
     def release(self, attempt: Attempt, done: bool = False) -> None:
-        """Remove an attempt that is certainly not running and will not run.
+        """Remove an attempt that is known not to run now or later.
 
         Args:
-            attempt: may have been removed before.
-            done: its task has finished; else the task may be placed again.
+            attempt: the attempt; removing it twice has no effect.
+            done: whether its task has finished; otherwise the task may be placed again.
         """
         job, task = attempt.job, attempt.task
         if attempt.state is not OperationState.SUPERSEDED and not done:
@@ -64,26 +64,26 @@
             del job.live_attempts[task]
             if job.final_status is None and job.task_states[task] == TASK_LIVE:
                 job.task_states[task] = TASK_PENDING
-        on_machine = self.attempts_by_machine.get(attempt.machine)
-        if on_machine is not None and on_machine.get((job.index, task)) is attempt:
-            del on_machine[job.index, task]
+        machine_attempts = self.attempts_by_machine.get(attempt.machine)
+        if machine_attempts is not None and machine_attempts.get((job.index, task)) is attempt:
+            del machine_attempts[job.index, task]
             if not attempt.has_exited:
                 self.usage.remove(attempt)
-            if not on_machine:
+            if not machine_attempts:
                 del self.attempts_by_machine[attempt.machine]
-        of_round = self.attempts_by_round.get(attempt.number)
-        if of_round is not None:
-            of_round.discard(attempt)
+        round_attempts = self.attempts_by_round.get(attempt.number)
+        if round_attempts is not None:
+            round_attempts.discard(attempt)
 
     def set_reported_state(self, attempt: Attempt, status: str) -> str:
-        """Note the task state that a worker reports; an exited attempt uses no resources.
+        """Record the task state that a worker reports; an exited attempt uses no resources.
 
         Returns:
-            The state reported before.
+            The previously reported state.
         """
         before, attempt.reported_state = attempt.reported_state, status
-        on_machine = self.attempts_by_machine.get(attempt.machine, {})
-        if on_machine.get((attempt.job.index, attempt.task)) is attempt:
+        machine_attempts = self.attempts_by_machine.get(attempt.machine, {})
+        if machine_attempts.get((attempt.job.index, attempt.task)) is attempt:
             if status == protocol.TaskState.EXITED and before != protocol.TaskState.EXITED:
                 self.usage.remove(attempt)
             elif before == protocol.TaskState.EXITED and status != protocol.TaskState.EXITED:
@@ -91,15 +91,15 @@
         return before
 
     def settle_unsent_round(self, number: int) -> None:
-        """Note that a recorded round has no effect: it was not sent, or all of it has ended."""
-        self.close_round(number)
+        """Release all attempts of a round that was not sent or has ended, and keep its entry."""
+        self.remove_round(number)
         self.attempts_by_round[number] = set()
 
-    def close_round(self, number: int) -> None:
-        """Release all attempts of a round whose record was deleted."""
+    def remove_round(self, number: int) -> None:
+        """Remove a round whose record was deleted, and release all its attempts."""
         for attempt in list(self.attempts_by_round.pop(number, ())):
             self.release(attempt)
 
     def settled_rounds(self) -> list[int]:
-        """Numbers of the rounds' records that may be deleted: no attempt of theirs is left."""
+        """Numbers of the rounds' records that may be deleted, as they have no attempts left."""
         return [number for number, attempts in self.attempts_by_round.items() if not attempts]
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -1,6 +1,6 @@
 """The state that all controllers share: jobs, attempts, and scale-out and scale-in requests.
 
-It is built from the keys in the state service alone, so every controller has it at hand when it
+It is built only from the keys in the state service, so every controller has a copy when it
 becomes the leader. ``stored_records`` describes the keys and their values.
 """
 
@@ -29,9 +29,9 @@
 
 
 class _KeyHandler(NamedTuple):
-    """What a change of one kind of key does; the name is the key's part after its kind."""
+    """How to apply changes of one kind of key; a name is the part of the key after its kind."""
 
-    decode: Callable[[StoredValue], Any]  # makes the record that ``put`` takes
+    decode: Callable[[StoredValue], Any]  # returns the record that ``put`` takes
     put: Callable[[str, Any], object]
     delete: Callable[[str], object]
 
@@ -39,16 +39,18 @@
 class ClusterState(AttemptTable):
     """Jobs, attempts and requests to the cloud, as recorded in the state service.
 
-    ``on_key`` takes each change of a key. The leader also applies its own claims, by the methods
-    for the single kinds of records, before the watch shows them.
+    ``on_key`` applies each change of a key. The leader also applies its own claims before the watch
+    shows them, with the methods for the individual kinds of records.
 
     Attributes:
         names: interned names of the jobs, machines and teams.
         jobs: all jobs, by index.
         jobs_by_id: all jobs, by id.
         open_jobs: jobs without a final status, by index.
-        open_jobs_by_done_record: for each record of finished tasks, the open jobs that need it.
-        machines_by_failing_job: names of machines where a job failed that fails everywhere, by id.
+        open_jobs_by_done_record: by number of a record of finished tasks, the indices of the open
+            jobs whose tasks it contains.
+        machines_by_failing_job: by id of a job that fails everywhere, the names of machines
+            where it failed.
         scale_out_records: by name of the request.
         scale_in_records: names of the machines to return, by name of the request.
         catalog: stored value of the machine types; None if there is none.
@@ -67,7 +69,7 @@
         self.scale_in_records: dict[str, list[str]] = {}
         self.catalog: StoredValue = None
         self.options = StoredOptions({}, 0)
-        self._early_final_statuses: dict[str, str] = {}  # of jobs that are not known yet
+        self._early_final_statuses: dict[str, str] = {}  # by id of jobs that are not known yet
         self._key_handlers = self._make_key_handlers()
 
     # ---- keys ------------------------------------------------------------------------------
@@ -79,7 +81,7 @@
             KeyKind.ROUND: _KeyHandler(
                 stored_records.decode_round,
                 lambda number, record: self.apply_round(int(number), record),
-                lambda number: self.close_round(int(number)),
+                lambda number: self.remove_round(int(number)),
             ),
             KeyKind.FINISHED_TASKS: _KeyHandler(
                 stored_records.decode_finished_tasks,
@@ -104,12 +106,12 @@
         }
 
     def on_key(self, key: str, value: StoredValue, revision: int) -> None:
-        """Apply a change of a key; other kinds than those of this state are ignored.
+        """Apply a change of a key; kinds of keys that this state does not use are ignored.
 
         Args:
-            key: without prefix.
-            value: None: the key was deleted.
-            revision: of the change.
+            key: the key without prefix.
+            value: its value, or None if it was deleted.
+            revision: the revision of the change.
         """
         kind, _, name = key.partition("/")
         handler = self._key_handlers.get(kind)
@@ -126,7 +128,7 @@
     # ---- jobs ------------------------------------------------------------------------------
 
     def add_job(self, job_id: str, record: JobRecord) -> Job:
-        """Add an accepted job, or return the one with this id."""
+        """Add an accepted job and return it, or return the existing job with this id."""
         job = self.jobs_by_id.get(job_id)
         if job is None:
             job = Job(len(self.jobs), job_id, record, self.names)
@@ -139,15 +141,15 @@
         return job
 
     def set_final_status(self, job_id: str, final_status: str) -> None:
-        """End a job, or note its end until the job is known; the first status remains."""
+        """Set a job's final status, now or once the job is known; the first status is kept."""
         job = self.jobs_by_id.get(job_id)
         if job is None:
-            self._early_final_statuses[job_id] = final_status  # keys may be read in any order
+            self._early_final_statuses[job_id] = final_status  # the job's key may be read later
             return
         if job.final_status is None:
             job.final_status = final_status
             self.open_jobs.pop(job.index, None)
-            for number in job.done_records:
+            for number in job.finished_task_records:
                 open_jobs = self.open_jobs_by_done_record.get(number)
                 if open_jobs is not None:
                     open_jobs.discard(job.index)
@@ -173,15 +175,15 @@
         state: OperationState = OperationState.UNKNOWN,
         unsent: Collection[TaskKey] = (),
     ) -> list[Attempt]:
-        """Add the attempts of a round's record and note its stops.
+        """Add the attempts of a round's record and apply its stops.
 
         A record that was applied or settled before changes nothing.
 
         Args:
-            number: of the record.
+            number: the number of the record.
             record: its starts and stops.
-            state: of the new attempts.
-            unsent: index of the job and task of recorded starts that will never be sent.
+            state: the state of the new attempts.
+            unsent: recorded starts that will never be sent.
 
         Returns:
             The new attempts.
@@ -216,7 +218,7 @@
                         continue
                     older = job.live_attempts.get(task)
                     if older is not None:
-                        # A leader claims a task anew only after the older attempt was settled.
+                        # A leader starts a task again only after the older attempt was settled.
                         if older.number > number:
                             continue
                         self.release(older)
@@ -234,7 +236,7 @@
                     attempt.stop_requested_at = STOP_TIME_UNKNOWN
 
     def apply_finished_tasks(self, number: int, record: FinishedTasksRecord) -> None:
-        """Mark the tasks of a record as finished; one that was applied before changes nothing."""
+        """Mark a record's tasks as finished; a record that was applied before changes nothing."""
         if number in self.open_jobs_by_done_record:
             return
         open_jobs = self.open_jobs_by_done_record[number] = set()
@@ -244,7 +246,7 @@
                 continue
             if job.final_status is None:
                 open_jobs.add(job.index)
-                job.done_records.append(number)
+                job.finished_task_records.append(number)
             for tasks in finished.task_ranges():
                 for task in tasks:
                     self.mark_task_finished(job, task)
@@ -257,9 +259,9 @@
         return {name for names in [*scaled_out, *self.scale_in_records.values()] for name in names}
 
     def obsolete_done_records(self) -> list[int]:
-        """Numbers of the records of finished tasks that may be deleted: all their jobs ended."""
+        """Numbers of the records of finished tasks that may be deleted, as all their jobs ended."""
         return [number for number, jobs in self.open_jobs_by_done_record.items() if not jobs]
 
 
 def _ignore(name: str) -> None:
-    """Ignore the deletion of a job's keys: a job once known stays known."""
+    """Ignore the deletion of a job's keys: known jobs are never removed from this state."""
--- a/petrelthread/state/conftest.py
+++ b/petrelthread/state/conftest.py
@@ -15,13 +15,13 @@
 
 
 def record_of(job_id: str, task_count: int) -> JobRecord:
-    """The record of an array that was submitted with this id and size."""
+    """The record of an array job with this id and number of tasks."""
     return JobRecord.from_spec(parse_job(orjson.dumps(job(job_id, task_count))), 5.0)
 
 
 @pytest.fixture
 def cluster_state_with() -> ClusterStateMaker:
-    """Makes a cluster state of jobs, given as task counts by id."""
+    """A function that makes a cluster state with jobs, given as task counts by id."""
 
     def make(jobs: dict[str, int]) -> ClusterState:
         cluster_state = ClusterState(InternedNames(["red", "blue"], ["a", "b"]))
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -17,27 +17,29 @@
 
 TaskKey = tuple[int, int]  # index of the job, number of the task
 
-STOP_TIME_UNKNOWN = 1.0  # seconds; long before the start of any controller's event loop clock
+STOP_TIME_UNKNOWN = 1.0  # event loop time in seconds; long before any that a controller reads
 
 
 class Attempt:
     """One attempt to run one task on one machine.
 
     Attributes:
-        number: record number of the round that started it, and its attempt number at the worker.
+        number: number of the record of the round that started it, and the attempt number that
+            the worker knows.
         job: its job.
         task: index of its task.
         machine: index of its machine.
-        incarnation: of the worker that was to start it.
+        incarnation: incarnation of the worker that was to start it.
         state: changed only by ``transition``.
         reported_state: the ``protocol.TaskState`` last reported by the worker; empty before the
             first report.
-        running_at: event loop time at which it was first seen running; 0 before, and once its
-            checkpoints have been credited to the job.
-        stop_requested_at: event loop time at which it was told to stop; 0 before,
+        running_at: event loop time at which it was first reported running; 0 before that, and
+            after its checkpoints have been credited to ``Job.checkpointed_s``.
+        stop_requested_at: event loop time at which its stop was dispatched; 0 before that,
             ``STOP_TIME_UNKNOWN`` if only the record of the stop is known.
-        proven_stable: a replica that has run long enough to show that its job can run.
-        start_delivered: whether an answer to a heartbeat has carried its start.
+        proven_stable: whether it is a replica that has run long enough to show that its job
+            can run.
+        start_delivered: whether a response to a heartbeat has contained its start command.
     """
 
     __slots__ = (
@@ -77,12 +79,12 @@
 
     @property
     def has_exited(self) -> bool:
-        """Whether the worker has reported that the task's process is gone."""
+        """Whether the worker has reported that the task's process has exited."""
         return self.reported_state == protocol.TaskState.EXITED
 
 
-# Attributes of a job, by where they come from.
-_DESCRIPTION = (  # the job's record
+# Attributes of a job, by their source.
+_DESCRIPTION = (  # from the job's record
     "accelerators",
     "accepted_at",
     "checkpoint_interval_s",
@@ -107,14 +109,14 @@
     "team",
     "zone",
 )
-_PROGRESS = (  # records of rounds, of finished tasks and of final states
+_PROGRESS = (  # from records of rounds, finished tasks and final statuses
     "done_count",
-    "done_records",
+    "finished_task_records",
     "final_status",
     "live_attempts",
     "task_states",
 )
-_OBSERVED = (  # known only to the controller that leads
+_OBSERVED = (  # not stored; known only to the leader
     "backoff_s",
     "checkpointed_s",
     "failing_tasks",
@@ -129,7 +131,7 @@
     """One job: its description, its recorded progress, and what the leader observes.
 
     Attributes of the description have the meaning and units of ``JobRecord``; names are interned.
-    All of them are kept in one object with slots, because placement reads them for every task.
+    One object with slots has all attributes, because placement reads them for every task.
 
     Attributes:
         index: position in ``ClusterState.jobs``.
@@ -138,14 +140,15 @@
             the job has a final status.
         live_attempts: by task.
         done_count: number of finished tasks.
-        done_records: numbers of the records that hold its finished tasks.
+        finished_task_records: numbers of the records that hold its finished tasks.
         failing_tasks: tasks whose last attempt failed.
-        suspect_since: event loop time at which it last began to fail everywhere; 0 if never.
-        checkpointed_s: by task: seconds of work that checkpoints have saved.
+        suspect_since: event loop time at which it last became suspect, that is, began to fail
+            everywhere; 0 if never.
+        checkpointed_s: by task: seconds of work saved in checkpoints.
         preemption_counts: by task: how often it was preempted.
-        backoff_s: current pause between two attempts.
-        retry_at: event loop time before which it is not placed.
-        last_start_at: wall clock time at which one of its tasks was last placed; 0 before.
+        backoff_s: current backoff between two attempts.
+        retry_at: event loop time before which none of its tasks is placed.
+        last_start_at: wall clock time of the latest start of one of its tasks; 0 before that.
     """
 
     __slots__ = (*_DESCRIPTION, *_PROGRESS, *_OBSERVED)
@@ -158,7 +161,7 @@
         self.task_states = bytearray(record.task_count)
         self.live_attempts: dict[int, Attempt] = {}
         self.done_count = 0
-        self.done_records: list[int] = []
+        self.finished_task_records: list[int] = []
         self.failing_tasks: set[int] = set()
         self.suspect_since = 0.0
         self.checkpointed_s: dict[int, float] = {}
@@ -195,12 +198,12 @@
         self.accepted_at = record.accepted_at
 
     def lost_work_s(self, ran_s: float, stopped: bool) -> float:
-        """Seconds of work lost with a task that has run for ``ran_s``.
+        """Seconds of work that are lost if an attempt ends.
 
         Args:
-            ran_s: seconds.
-            stopped: the task is told to stop and can save a checkpoint; else it ends without
-                notice, as when its machine is lost.
+            ran_s: how long it has run, in seconds.
+            stopped: whether it gets a stop command and can save a checkpoint; otherwise it ends
+                without notice, for example because its machine is lost.
         """
         if self.checkpoint_interval_s <= 0:
             return ran_s
@@ -208,23 +211,23 @@
 
     @property
     def pending_count(self) -> int:
-        """Number of tasks that wait for placement."""
+        """Number of tasks that wait to be placed."""
         return self.task_count - self.done_count - len(self.live_attempts)
 
     @property
     def status(self) -> str:
-        """A ``protocol.JobStatus``: the final one, else by whether any task has an attempt."""
+        """The final ``protocol.JobStatus``; without one, RUNNING if any task has an attempt."""
         if self.final_status is not None:
             return self.final_status
         return protocol.JobStatus.RUNNING if self.live_attempts else protocol.JobStatus.QUEUED
 
     def pending_tasks(self) -> Iterator[int]:
-        """Tasks that wait for placement; those that have failed come last."""
-        at = self.task_states.find(TASK_PENDING)
-        while at >= 0:
-            if at not in self.failing_tasks:
-                yield at
-            at = self.task_states.find(TASK_PENDING, at + 1)
+        """Tasks that wait to be placed; those whose last attempt failed come last."""
+        next_task = self.task_states.find(TASK_PENDING)
+        while next_task >= 0:
+            if next_task not in self.failing_tasks:
+                yield next_task
+            next_task = self.task_states.find(TASK_PENDING, next_task + 1)
         if self.task_states:  # empty once the job has a final status
             yield from sorted(
                 task for task in self.failing_tasks if self.task_states[task] == TASK_PENDING
--- a/petrelthread/state/operation_state.py
+++ b/petrelthread/state/operation_state.py
@@ -1,7 +1,7 @@
-"""States of an operation with an effect outside the state service, and the steps between them.
+"""States of an operation that has an external effect, and the transitions between them.
 
 Operations are starts of tasks, scale-out requests and scale-in requests. Each is recorded in the
-state service before it is sent, so that a later leader can find out what became of it.
+state service before it is sent, so that a later leader can determine its result.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 
 class OperationState(Enum):
-    """What this controller knows about an operation's effect."""
+    """What this controller knows about the effect of an operation."""
 
     AUTHORIZED = "authorized"  # decided; its record may not be written yet
     DISPATCHING = "dispatching"  # recorded; the request is being sent
-    UNKNOWN = "unknown"  # the answer was lost, or another leader sent the request
-    CONFIRMED = "confirmed"  # a worker or the cloud has shown the effect
+    UNKNOWN = "unknown"  # no response was received, or another leader sent the request
+    CONFIRMED = "confirmed"  # a worker or the cloud has reported the effect
     SUPERSEDED = "superseded"  # it has ended, or will certainly never take effect
 
 
 class IllegalTransitionError(Exception):
-    """An operation was to take a step that does not exist."""
+    """A transition that is not defined, of an operation or of a controller's role."""
 
 
 TRANSITIONS = {
@@ -45,13 +45,15 @@
 
 
 def transition(operation: Operation, target: OperationState) -> None:
-    """Change an operation's state; the only function that does.
+    """Change an operation's state; no other function changes it.
 
     Raises:
-        IllegalTransitionError: there is no such step.
+        IllegalTransitionError: ``TRANSITIONS`` has no such change.
     """
     if operation.state is target:
         return
     if target not in TRANSITIONS[operation.state]:
-        raise IllegalTransitionError(f"{operation.state.value} to {target.value}")
+        raise IllegalTransitionError(
+            f"no transition from state {operation.state.value} to {target.value}"
+        )
     operation.state = target
--- a/petrelthread/state/record_packing.py
+++ b/petrelthread/state/record_packing.py
@@ -1,6 +1,6 @@
 """Packing of starts, stops and finished tasks into records of limited size.
 
-Sizes are estimates in bytes of JSON that are never below the true size.
+Sizes are upper bounds on the size in bytes of the JSON text.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
     TasksOfJob,
 )
 
-# Brackets, quotes and commas around the names and numbers of each part of a record.
+# Bytes of brackets, quotes and commas that each part of a record adds to its names and numbers.
 EMPTY_RECORD_BYTES = 2
 TASK_BYTES = 1
 JOB_BYTES = 8
 MACHINE_BYTES = 10
-FIRST_ENTRY_BYTES = 20  # of a record: one machine with one task
+FIRST_ENTRY_BYTES = 20  # for a record's first entry, which has one machine and one task
 RANGE_BYTES = 4
-FIRST_RANGE_BYTES = 16  # with its numbers; room that a job's first range must have
+FIRST_RANGE_BYTES = 16  # space required for a job's first range, including its numbers
 
 
 class Placement(NamedTuple):
-    """One task of a round's record, sorted by machine, job and task."""
+    """One task of a round's record; the order of the fields is the sort order of a record."""
 
-    machine: str  # its name, or STOP_MARKER
+    machine: str  # name, or STOP_MARKER
     incarnation: int
     job_id: str
     task: int
@@ -70,7 +70,7 @@
     """Pack finished tasks, by job, as ranges into one record of at most ``limit`` bytes.
 
     Returns:
-        The record, and the tasks by job that did not fit.
+        The record, and the tasks that did not fit, by job.
     """
     record: FinishedTasksRecord = []
     rest: dict[str, list[int]] = {}
@@ -84,13 +84,13 @@
         ranges: list[int] = []
         record.append(FinishedTasks(job_id, ranges))
         tasks = sorted(tasks)
-        for at, task in enumerate(tasks):
+        for position, task in enumerate(tasks):
             if ranges and ranges[-1] == task - 1:
                 ranges[-1] = task
                 continue
             cost = 2 * len(str(task)) + RANGE_BYTES
             if size + cost > limit:
-                rest[job_id] = tasks[at:]
+                rest[job_id] = tasks[position:]
                 break
             ranges += [task, task]
             size += cost
--- a/petrelthread/state/stored_records.py
+++ b/petrelthread/state/stored_records.py
@@ -1,11 +1,11 @@
-"""Values of the keys in the state service: the only place that knows their stored form.
+"""Format of the values in the state service; no other module depends on it.
 
-Each kind of key has a ``decode_...`` function that makes a typed record of a stored value, and
-``encode`` makes a stored value of any record. Records that are arrays in the store are positional:
-the order of their fields is the stored order. All versions that may run next to each other read
-the same form, so neither an order nor a stored name may change.
+The ``decode_...`` functions convert a stored value to a typed record, and ``encode`` converts any
+record to a stored value. Records that are stored as arrays are positional: the order of their
+fields is the stored order. Different versions that run at the same time read the same format, so
+neither a field's position nor its stored name may change.
 
-Only this service writes these keys, so the types inside of arrays are not checked.
+Only the controllers write these keys, so the types inside arrays are not checked.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from petrelthread import protocol
 
 StoredValue = Any
-"""A JSON value as the state service holds it."""
+"""A JSON value as the state service stores it."""
 
-STOP_MARKER = ""  # in a round's record, in place of a machine's name: these tasks are to stop
+STOP_MARKER = ""  # replaces the machine name in a round's entry whose tasks are to stop
 
 
 class KeyKind(StrEnum):
-    """First part of a key below the root; ``kind/name``, or the kind alone."""
+    """First part of a key without prefix; a key is ``kind/name`` or only the kind."""
 
     JOB = "j"  # by job: JobRecord; created once
     FINAL_STATUS = "f"  # by job: done or cancelled; created once
@@ -35,12 +35,12 @@
     SCALE_OUT = "c"  # by scale-out request: ScaleOutRecord
     SCALE_IN = "x"  # by scale-in request: names of the machines to return
     LEADER = "lead"  # LeaderRecord
-    EPOCH = "epoch"  # highest fencing token
+    EPOCH = "epoch"  # highest epoch or fencing token
     CATALOG = "catalog"  # the cloud's machine types
     OPTIONS = "options"  # settings changed by operators
 
     def key(self, name: object) -> str:
-        """The key of one record of this kind, below the root."""
+        """The key of one record of this kind, without prefix."""
         return f"{self}/{name}"
 
 
@@ -57,21 +57,21 @@
 
     team: str
     job_class: str
-    priority: int  # higher goes first
+    priority: int  # a higher value takes precedence
     task_count: int
-    cores: float  # of each task, as are accelerators and memory
+    cores: float  # of each task; also accelerators and memory
     accelerators: float
     ram_gb: float
     image: str
     image_size_gb: float
-    machine_types: list[str] | None  # None: any
-    zone: str | None  # None: any
-    flags: int
+    machine_types: list[str] | None  # allowed types; None allows any
+    zone: str | None  # None allows any
+    flags: int  # bits: SINGLE_ZONE and the following constants
     estimated_run_s: float
-    checkpoint_interval_s: float  # 0: no checkpoints
+    checkpoint_interval_s: float  # 0 if it makes no checkpoints
     grace_period_s: float
     deadline_s: float | None
-    accepted_at: float  # seconds since the epoch of the wall clock
+    accepted_at: float  # Unix time
 
     @classmethod
     def from_spec(cls, spec: protocol.JobSpec, accepted_at: float) -> JobRecord:
@@ -89,7 +89,7 @@
             machine_types=None if spec.machine_types is None else list(spec.machine_types),
             zone=spec.zone,
             flags=_flags(spec),
-            # ``parse_job`` leaves None in none of these three.
+            # None of the next three is None in a spec that ``parse_job`` returns.
             estimated_run_s=cast("float", spec.estimated_run_s),
             checkpoint_interval_s=cast("float", spec.checkpoint_interval_s),
             grace_period_s=cast("float", spec.grace_period_s),
@@ -108,7 +108,8 @@
     )
 
 
-# Every controller decodes each round; without reference cycles the collector need not see these.
+# Every controller decodes each round. These structs are in no reference cycles, so ``gc=False``
+# saves the garbage collector from tracking them.
 class TasksOfJob(msgspec.Struct, array_like=True, gc=False):
     """Some tasks of one job."""
 
@@ -117,9 +118,9 @@
 
 
 class RoundEntry(msgspec.Struct, array_like=True, gc=False):
-    """Tasks that a round starts on one machine, or stops wherever they run."""
+    """Tasks that a round starts on one machine, or stops on any machine."""
 
-    machine: str  # its name, or STOP_MARKER
+    machine: str  # name, or STOP_MARKER
     incarnation: int  # of the worker that is to start the tasks
     jobs: list[TasksOfJob]
 
@@ -133,15 +134,15 @@
 
 
 class FinishedTasks(msgspec.Struct, array_like=True):
-    """Finished tasks of one job, as ranges."""
+    """Finished tasks of one job, stored as ranges."""
 
     job_id: str
-    ranges: list[int]  # first and last task of each range in turn
+    ranges: list[int]  # first and last task of each range, alternating
 
     def task_ranges(self) -> Iterator[range]:
-        """The finished tasks, range by range."""
-        for at in range(0, len(self.ranges), 2):
-            yield range(self.ranges[at], self.ranges[at + 1] + 1)
+        """The ranges of finished tasks."""
+        for start in range(0, len(self.ranges), 2):
+            yield range(self.ranges[start], self.ranges[start + 1] + 1)
 
 
 FinishedTasksRecord = list[FinishedTasks]
@@ -154,38 +155,38 @@
     zone: str = msgspec.field(name="z")
     spot: bool = msgspec.field(name="s")
     count: int = msgspec.field(name="n")
-    requested_at: float = msgspec.field(name="at")  # seconds since the epoch of the wall clock
+    requested_at: float = msgspec.field(name="at")  # Unix time
     machine_names: tuple[str, ...] | None = msgspec.field(name="m", default=None)  # once known
 
 
 class LeaderRecord(msgspec.Struct, frozen=True):
-    """Who leads; the key is tied to the leader's lease."""
+    """The leader; the key is attached to the leader's lease."""
 
     node: str
-    nonce: str  # of one candidacy
+    nonce: str  # unique to one campaign
     epoch: int  # or the fencing token, once it has been raised
     lease: int
 
 
 class StoredOptions(msgspec.Struct, frozen=True):
-    """Settings changed by operators, and the revision of their key (0: never changed)."""
+    """Settings changed by operators, and the revision of their key, 0 if it is absent."""
 
     values: dict[str, Any]
     revision: int
 
 
 def encode(record: object) -> StoredValue:
-    """The stored form of a record, or of a container of records."""
+    """Convert a record, or a container of records, to its stored value."""
     return msgspec.to_builtins(record)
 
 
 def decode_job(value: StoredValue) -> JobRecord:
-    """Read a job."""
+    """Decode a job."""
     return JobRecord(*value)
 
 
 def decode_round(value: StoredValue) -> RoundRecord:
-    """Read the record of a round."""
+    """Decode the record of a round."""
     return [
         RoundEntry(machine, incarnation, [TasksOfJob(job_id, tasks) for job_id, tasks in jobs])
         for machine, incarnation, jobs in value
@@ -193,21 +194,21 @@
 
 
 def decode_finished_tasks(value: StoredValue) -> FinishedTasksRecord:
-    """Read a record of finished tasks."""
+    """Decode a record of finished tasks."""
     return [FinishedTasks(job_id, ranges) for job_id, ranges in value]
 
 
 def decode_machine_names(value: StoredValue) -> list[str]:
-    """Read the names of machines where a job failed, or that are to be returned."""
+    """Decode the names of machines where a job failed, or that are to be returned."""
     names: list[str] = value
     return names
 
 
 def decode_scale_out(value: StoredValue) -> ScaleOutRecord:
-    """Read a scale-out request."""
+    """Decode a scale-out request."""
     return msgspec.convert(value, ScaleOutRecord)
 
 
 def decode_leader(value: StoredValue) -> LeaderRecord:
-    """Read who leads."""
+    """Decode the leader's record."""
     return msgspec.convert(value, LeaderRecord)
--- a/petrelthread/state/test_cluster_state.py
+++ b/petrelthread/state/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""ClusterState: what keys make of jobs and attempts, in whatever order they are read."""
+"""ClusterState: effects of keys on jobs and attempts, in any order in which they are read."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 TEAMS = range(2)
 
 
-def test_a_newer_round_replaces_the_older_attempt(cluster_state_with: ClusterStateMaker) -> None:
+def test_the_newest_round_defines_the_attempt_in_any_order(
+    cluster_state_with: ClusterStateMaker,
+) -> None:
     cluster_state = cluster_state_with({"wk-000001": 2})
     cluster_state.on_key("r/7", [["host-1", 1, [["wk-000001", [0, 1]]]]], 1)
     cluster_state.on_key("r/9", [["host-2", 1, [["wk-000001", [0]]]]], 2)
     job = cluster_state.jobs_by_id["wk-000001"]
     assert {task: attempt.number for task, attempt in job.live_attempts.items()} == {0: 9, 1: 7}
-    cluster_state.on_key("r/8", [["host-3", 1, [["wk-000001", [0]]]]], 3)  # read late
+    cluster_state.on_key("r/8", [["host-3", 1, [["wk-000001", [0]]]]], 3)  # read after r/9
     assert job.live_attempts[0].number == 9
     assert 8 in cluster_state.settled_rounds()
 
@@ -34,7 +36,9 @@
     assert job.status == JobStatus.CANCELLED
 
 
-def test_a_final_status_may_be_read_before_its_job(cluster_state_with: ClusterStateMaker) -> None:
+def test_a_final_status_read_before_its_job_applies(
+    cluster_state_with: ClusterStateMaker,
+) -> None:
     cluster_state = cluster_state_with({})
     cluster_state.set_final_status("wk-000002", JobStatus.DONE)
     assert cluster_state.add_job("wk-000002", record_of("wk-000002", 3)).status == JobStatus.DONE
@@ -43,10 +47,10 @@
 def change_at_random(
     cluster_state: ClusterState, attempts: list[Attempt], number: int, randomness: random.Random
 ) -> None:
-    """Add an attempt, or report on or release one of those added before."""
-    chance = randomness.random()
+    """Add an attempt, or report a state for or release one that was added before."""
+    action = randomness.random()
     job = randomness.choice(cluster_state.jobs)
-    if chance < 0.5:
+    if action < 0.5:
         free = [task for task in range(job.task_count) if task not in job.live_attempts]
         if free:
             task, machine = randomness.choice(free), randomness.choice(MACHINES)
@@ -57,7 +61,7 @@
     attempt = randomness.choice(attempts)
     if attempt.state is OperationState.SUPERSEDED:
         return
-    if chance < 0.75:
+    if action < 0.75:
         state = randomness.choice(["running", "ended", "fetching"])
         cluster_state.set_reported_state(attempt, state)
     else:
@@ -67,8 +71,8 @@
 def assert_usage_equals_recount(cluster_state: ClusterState) -> None:
     using = [
         attempt
-        for there in cluster_state.attempts_by_machine.values()
-        for attempt in there.values()
+        for machine_attempts in cluster_state.attempts_by_machine.values()
+        for attempt in machine_attempts.values()
         if not attempt.has_exited
     ]
     for machine in MACHINES:
--- a/petrelthread/state/test_operation_state.py
+++ b/petrelthread/state/test_operation_state.py
@@ -1,4 +1,4 @@
-"""Steps between the states of an operation."""
+"""Transitions between the states of an operation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from petrelthread.state.conftest import ClusterStateMaker
 
 
-def test_operations_take_only_existing_steps(cluster_state_with: ClusterStateMaker) -> None:
+def test_operations_make_only_defined_transitions(cluster_state_with: ClusterStateMaker) -> None:
     job = cluster_state_with({"wk-000001": 1}).jobs_by_id["wk-000001"]
     attempt = Attempt(1, job, 0, 0, 1, OperationState.AUTHORIZED)
     for state in (
--- a/petrelthread/state/test_record_packing.py
+++ b/petrelthread/state/test_record_packing.py
@@ -1,4 +1,4 @@
-"""Packing into records of limited size loses nothing."""
+"""Records are within the size limit and contain everything that was packed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from petrelthread.state.conftest import ClusterStateMaker
 
-LIMIT = 900  # bytes
+LIMIT = 900  # bytes of JSON
 
 
 def placements_in(record: RoundRecord) -> set[Placement]:
@@ -29,7 +29,7 @@
     }
 
 
-def test_packed_rounds_hold_all_placements_within_the_limit() -> None:
+def test_packed_rounds_contain_all_placements_within_the_limit() -> None:
     randomness = random.Random(5)
     for _ in range(50):
         placements = {
@@ -46,7 +46,9 @@
         assert set().union(*(placements_in(decode_round(value)) for value in stored)) == placements
 
 
-def test_packed_finished_tasks_are_all_applied(cluster_state_with: ClusterStateMaker) -> None:
+def test_packed_finished_tasks_within_the_limit_are_all_applied(
+    cluster_state_with: ClusterStateMaker,
+) -> None:
     randomness = random.Random(6)
     for _ in range(50):
         sizes = {
--- a/petrelthread/state/test_stored_records.py
+++ b/petrelthread/state/test_stored_records.py
@@ -1,4 +1,4 @@
-"""Stored values and their typed records."""
+"""Decoding and encoding of stored values, and the keys that hold them."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         ),
     ],
 )
-def test_a_decoded_value_is_encoded_unchanged(
+def test_a_decoded_value_is_encoded_to_the_same_value(
     decode: Callable[[StoredValue], object], value: StoredValue
 ) -> None:
     assert orjson.dumps(encode(decode(value))) == orjson.dumps(value)
@@ -57,7 +57,7 @@
     assert [entry.is_stop for entry in decode_round(ROUND)] == [False, True]
 
 
-def test_options_keep_the_revision_until_they_are_deleted() -> None:
+def test_options_have_the_revision_of_their_key_until_it_is_deleted() -> None:
     cluster_state = ClusterState(InternedNames())
     assert (cluster_state.options.values, cluster_state.options.revision) == ({}, 0)
     cluster_state.on_key("options", {"idle_s": 7.0}, 12)
--- a/petrelthread/state/usage.py
+++ b/petrelthread/state/usage.py
@@ -1,7 +1,7 @@
 """Resources that attempts use, by machine and by team.
 
-The sums are kept up to date with each change of an attempt, because a leader needs them in every
-round and adding up all attempts takes too long. ``AttemptTable`` makes all these changes.
+The sums are updated with each change of an attempt, because a leader needs them in every round and
+summing over all attempts takes too long. Only ``AttemptTable`` makes these updates.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 
 
 class UsageTracker:
-    """Usage by machine and by team; both are given by index.
+    """Usage by index of the machine and by index of the team.
 
     Attributes:
-        changed_machines: machines whose usage or availability has changed. The keeper of an index
-            by free capacity empties it after each update.
+        changed_machines: indices of machines whose usage or availability has changed.
+            ``FreeCapacity`` updates its indexes for these machines and clears the set.
     """
 
     def __init__(self) -> None:
@@ -49,11 +49,11 @@
         self._teams: dict[int, ResourceUsage] = {}
 
     def machine(self, index: int) -> ResourceUsage:
-        """What attempts use on a machine."""
+        """Usage of all attempts on a machine."""
         return self._machines.get(index, NO_USAGE)
 
     def team(self, index: int) -> ResourceUsage:
-        """What a team's attempts use on all machines."""
+        """Usage of a team's attempts on all machines."""
         return self._teams.get(index, NO_USAGE)
 
     def add(self, attempt: Attempt) -> None:
--- a/petrelthread/test_background_tasks.py
+++ b/petrelthread/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks are held until they end."""
+"""Background tasks are referenced until they end and can be cancelled."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from petrelthread.background_tasks import BackgroundTasks
 
 
-def test_a_task_that_nobody_else_refers_to_runs_to_its_end() -> None:
+def test_a_task_without_other_references_runs_to_its_end() -> None:
     async def scenario() -> None:
         tasks, finished = BackgroundTasks(), []
 
-        async def wait_for_nobody() -> None:
+        async def finish_later() -> None:
             await asyncio.sleep(0.01)
             finished.append(True)
 
-        tasks.start(wait_for_nobody())
+        tasks.start(finish_later())
         await asyncio.sleep(0.0)
         gc.collect()
         await asyncio.sleep(0.05)
         assert finished
-        tasks.cancel_all()  # nothing is left
+        tasks.cancel_all()  # has no effect, as no task is left
 
     asyncio.run(scenario())
 
@@ -30,15 +30,15 @@
     async def scenario() -> None:
         tasks, cancelled = BackgroundTasks(), []
 
-        async def wait_for_ever() -> None:
+        async def wait_until_cancelled() -> None:
             try:
                 await asyncio.Event().wait()
             except asyncio.CancelledError:
                 cancelled.append(True)
                 raise
 
-        tasks.start(wait_for_ever())
-        tasks.start(wait_for_ever())
+        tasks.start(wait_until_cancelled())
+        tasks.start(wait_until_cancelled())
         await asyncio.sleep(0.0)
         tasks.cancel_all()
         await asyncio.sleep(0.01)
