--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -97,11 +97,11 @@
                 f"no transition from role {self.role.value} to {target.value}"
             )
         # Campaigns fail often while the state service is down, so they are logged at debug level.
-        failed_campaign = target is Role.CANDIDATE or (
+        is_campaign = target is Role.CANDIDATE or (
             self.role is Role.CANDIDATE and target is Role.FOLLOWER
         )
         log.log(
-            logging.DEBUG if failed_campaign else logging.INFO,
+            logging.DEBUG if is_campaign else logging.INFO,
             "leadership: %s to %s (epoch %d): %s",
             self.role.value,
             target.value,
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -111,8 +111,8 @@
 )
 _PROGRESS = (  # from records of rounds, finished tasks and final statuses
     "done_count",
-    "finished_task_records",
     "final_status",
+    "finished_task_records",
     "live_attempts",
     "task_states",
 )
