--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -117,7 +117,7 @@
             attempt: The same attempt on record; None if it is not on record for this machine.
         """
         start = StartKey(job.index, task, task_report.attempt)
-        if self._fleet.unacknowledged_starts.holds(machine.index, start):
+        if self._fleet.unacknowledged_starts.contains(machine.index, start):
             return False  # once forgotten, the attempt would be started again by a late command
         if task_report.exit_cause == protocol.ExitCause.DONE and not job.is_service:
             # Only once it is durably recorded.
@@ -138,7 +138,7 @@
             if key in recorded or not self._may_be_started(attempt, heartbeat.incarnation):
                 continue
             if attempt.job.final_status is not None or attempt.stop_requested_at:
-                if not self._fleet.unacknowledged_starts.holds(machine.index, key_of(attempt)):
+                if not self._fleet.unacknowledged_starts.contains(machine.index, key_of(attempt)):
                     self._fleet.supersede(attempt, "never listed, no longer wanted")
                 continue
             commands.append(
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -1,15 +1,16 @@
-"""When a machine counts as unresponsive, and when its tasks count as lost.
-
-Two decisions, with different proof:
-
-- *Unresponsive*: the machine sends no heartbeats for too long, responds to no read, or has stopped
-  receiving anything (``FailureDetector.check``), or it responds to no probe (``on_probe``). It gets
-  no new work, and the provisioner returns it. Its tasks may still run, so that none of them starts
-  elsewhere yet.
-- *Lost*: the worker's lease has certainly expired (``check`` asks ``WorkerLeases.expires_at``), or
-  the cloud has confirmed the machine's return (``provisioning``). ``Fleet.mark_lost`` ends its
-  attempts, and their tasks may start elsewhere. A new incarnation of the worker ends the attempts
-  of the former one likewise (``HeartbeatReconciler``).
+"""Detection of unresponsive machines, and of machines whose tasks are lost.
+
+Three decisions, each on its own evidence:
+
+- *Unresponsive*: the machine sends no heartbeats for too long or responds to no read
+  (``FailureDetector.check``), or it responds to no probe (``on_probe``). It gets no new work, and
+  the provisioner returns it. Its tasks may still run, so none of them is started elsewhere yet.
+- *Quarantined*: the machine sends heartbeats, but an asymmetric partition keeps messages from
+  reaching it (``check``). It gets no new work either, and the provisioner returns it.
+- *Lost*: the worker's lease has certainly expired (``check``, by ``WorkerLeases.expires_at``), or
+  the cloud has confirmed the machine's scale-in (``provisioning``). ``Fleet.mark_lost`` ends its
+  attempts, and their tasks may start elsewhere. A new incarnation of the worker likewise ends the
+  attempts of the former one (``HeartbeatReconciler``).
 """
 
 from __future__ import annotations
@@ -21,27 +22,28 @@
 
 log = logging.getLogger(__name__)
 
-READ_INTERVAL_S = 2.5  # between two reads of the same worker by a new leader
-MAX_FAILED_READS = 2  # consecutive; then its heartbeat is not waited for either
-OVERDUE_AFTER_INTERVALS = 1.25  # heartbeat intervals,
-MAX_HEARTBEAT_TRANSIT_S = 0.75  # and as much longer for the way of the heartbeat
-MAX_FAILED_PROBES = 2  # consecutive; then the machine's replicas are needed elsewhere
-FIND_LEADER_S = 4.0  # longer silence permitted to a worker whose controller is gone
-MIN_OVERDUE_FOR_DOUBT = 2  # so many overdue machines never suggest a fault of this node
+READ_INTERVAL_S = 2.5  # minimum time between two reads of the same worker by a new leader
+MAX_FAILED_READS = 2  # consecutive; then the heartbeat timeout is not awaited
+# A heartbeat is overdue after so many heartbeat intervals plus the longest transit time.
+OVERDUE_AFTER_INTERVALS = 1.25
+MAX_HEARTBEAT_TRANSIT_S = 0.75
+MAX_FAILED_PROBES = 2  # consecutive; then the machine's replicas are replaced elsewhere
+FIND_LEADER_S = 4.0  # added to the timeout of workers not yet answered by this leader
+ALWAYS_CREDIBLE_OVERDUE = 2  # so few overdue machines never suggest a fault of this node
 
 
 class FailureDetector:
-    """Judges the times noted in the fleet; alone in changing a machine to UNRESPONSIVE."""
+    """Detects failures from the times recorded in the fleet; alone sets UNRESPONSIVE."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
 
     def check(self, now: float, timeout_s: float) -> None:
-        """Find machines that have become unresponsive, and those whose lease has expired.
+        """Mark unresponsive machines, quarantine partitioned ones, and expire leases.
 
         Args:
             now: Event loop time.
-            timeout_s: How long a machine may send no heartbeat.
+            timeout_s: How long a machine may go without sending a heartbeat.
         """
         self._fleet.job_failures.drop_finished()
         seen_after = now - timeout_s
@@ -59,7 +61,7 @@
                 continue
             if machine.partition_reason:
                 partitioned.append(machine)
-        # If most seem to receive nothing, the fault is likely on the side of this node.
+        # If most machines seem to be partitioned, the fault is probably on this node.
         if 2 * len(partitioned) <= max(2, up_count):
             for machine in partitioned:
                 self._quarantine_if_persistent(machine, now)
@@ -67,15 +69,15 @@
         self._fleet.unacknowledged_starts.expire_leases(now)
 
     def _mark_if_timed_out(self, machine: Machine, now: float, timeout_s: float) -> bool:
-        """Mark a machine unresponsive that has sent nothing for too long. Returns whether it is."""
+        """Mark a machine unresponsive after the heartbeat timeout. Returns whether it is."""
         answered = machine.answered_epoch == self._fleet.epoch
         if not answered:
             timeout_s += FIND_LEADER_S
-        # Nothing could be received while this process was paused.
+        # This process received no heartbeats while it was paused.
         if now - max(machine.last_seen_at, self._fleet.resumed_at) <= timeout_s:
             return False
         log.info(
-            "machine %s is unresponsive: not heard for %.1f s (limit %.1f s); %s in epoch %d",
+            "machine %s is unresponsive: no heartbeat for %.1f s (timeout %.1f s); %s in epoch %d",
             machine.name,
             now - machine.last_seen_at,
             timeout_s,
@@ -86,10 +88,10 @@
         return True
 
     def _mark_if_unreadable(self, machine: Machine, now: float) -> bool:
-        """Mark a machine unresponsive that was silent since the election. Returns whether it is.
+        """Mark a machine with attempts unresponsive after failed reads. Returns whether it is.
 
-        That is earlier than by the timeout, for machines with attempts, so that these are returned
-        and the tasks start elsewhere sooner.
+        This applies to machines that have not acknowledged this epoch. It takes less time than the
+        heartbeat timeout, so that the machine is returned and its tasks start elsewhere sooner.
         """
         fleet = self._fleet
         has_attempts = machine.index in fleet.cluster_state.attempts_by_machine
@@ -107,7 +109,7 @@
         return True
 
     def _quarantine_if_persistent(self, machine: Machine, now: float) -> None:
-        """Quarantine a machine behind a one-way partition once that has lasted or recurred."""
+        """Quarantine a machine if its asymmetric partition persists or recurs."""
         if machine.quarantine_reason:
             return
         ignored_s = now - machine.ignored_starts_since if machine.ignored_starts else 0.0
@@ -115,11 +117,11 @@
             machine.quarantine_reason = machine.partition_reason
 
     def _expire_leases(self, now: float) -> None:
-        """Mark machines lost whose worker's lease has certainly expired."""
+        """Mark the machines lost whose worker's lease has certainly expired."""
         for index in list(self._fleet.cluster_state.attempts_by_machine):
             machine = self._fleet.machines.get(index)
-            # A lease lasts at least ``lease_s`` from its newest renewal: checked first, because it
-            # is cheap and holds for nearly all.
+            # A lease lasts at least ``lease_s`` from its newest renewal. This check comes first
+            # because it is cheap and excludes nearly all machines.
             if machine is None or now - machine.lease_renewed_at < self._fleet.lease_s:
                 continue
             if now > self._fleet.lease_expires_at(machine):
@@ -143,18 +145,18 @@
         return sorted(unread, key=lambda machine: machine.index not in with_attempts)
 
     def on_read(self, machine: Machine, answered: bool) -> None:
-        """A read of a worker that has not acknowledged this epoch has got a response, or has not.
+        """Count failed reads of a worker that has not acknowledged this epoch.
 
         Args:
             machine: The worker's machine.
-            answered: Whether there was a response.
+            answered: Whether the read got a response.
         """
         machine.failed_reads = 0 if answered else machine.failed_reads + 1
 
     # ---- probes of machines with replicas --------------------------------------------------------
 
     def overdue_machines(self, now: float) -> list[Machine]:
-        """Return machines with service replicas whose heartbeat is overdue, to be probed."""
+        """Return the machines to probe: those with service replicas and an overdue heartbeat."""
         return [
             machine
             for machine in self._overdue(now)
@@ -162,21 +164,21 @@
         ]
 
     def _overdue(self, now: float) -> list[Machine]:
-        """Return machines that are UP and whose heartbeat is overdue.
+        """Return the machines that are UP and whose heartbeat is overdue.
 
-        None if that holds for most of them: then this node is likely the one that receives nothing,
-        and machines that are well would be returned.
+        The list is empty if most are overdue: the fault is then probably on this node, and healthy
+        machines would be returned.
         """
         fleet = self._fleet
         limit_s = OVERDUE_AFTER_INTERVALS * fleet.heartbeat_interval_s + MAX_HEARTBEAT_TRANSIT_S
         up = [m for m in fleet.machines.values() if m.health is Health.UP]
         overdue = [m for m in up if now - max(m.last_seen_at, fleet.resumed_at) > limit_s]
-        if len(overdue) > max(MIN_OVERDUE_FOR_DOUBT, len(up) / 2):
+        if len(overdue) > max(ALWAYS_CREDIBLE_OVERDUE, len(up) / 2):
             return []
         return [m for m in overdue if m.answered_epoch == fleet.epoch]
 
     def on_probe(self, machine: Machine, answered: bool, now: float) -> None:
-        """A probe has got a response, or has not; after some failures it is unresponsive."""
+        """Record a probe's result; consecutive failures make the machine unresponsive."""
         if machine not in self._overdue(now):
             return
         machine.failed_probes = 0 if answered else machine.failed_probes + 1
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats at ``POST /checkin``: whether a worker is answered, and with what."""
+"""Workers' heartbeats at ``POST /checkin``: whether one is answered, and with what response."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 log = logging.getLogger(__name__)
 
-WINDOW_INTERVALS = 2  # heartbeat intervals in which a heartbeat counts as recent
+RECENT_INTERVALS = 2  # heartbeat intervals for which a heartbeat counts as recent
 
 
 class HeartbeatHandler:
-    """Receives heartbeats and answers them, as far as this controller may."""
+    """Handles heartbeats, and answers them if this controller may renew worker leases."""
 
     def __init__(
         self, node: str, election: Election, fleet: Fleet, command_planner: CommandPlanner
     ) -> None:
-        """Handle the heartbeats that arrive at the controller of the name ``node``."""
+        """Create the handler of the controller named ``node``."""
         self._node = node
         self._election = election
         self._fleet = fleet
@@ -35,20 +35,20 @@
     @property
     def window_s(self) -> float:
         """For how long a heartbeat counts as recent, in seconds."""
-        return WINDOW_INTERVALS * self._fleet.heartbeat_interval_s
+        return RECENT_INTERVALS * self._fleet.heartbeat_interval_s
 
     def recent_count(self, now: float) -> int:
-        """How many heartbeats arrived recently, answered or not."""
+        """Return how many heartbeats were received recently, answered or not."""
         while self._received_at and now - self._received_at[0] > self.window_s:
             self._received_at.popleft()
         return len(self._received_at)
 
     def reset_recent(self) -> None:
-        """Count recent heartbeats from zero, because earlier ones prove nothing any more."""
+        """Discard the recent heartbeats, when they are no longer evidence of connectivity."""
         self._received_at.clear()
 
     def handle(self, body: bytes) -> Response:
-        """Answer one heartbeat. A malformed one gets 400 and changes nothing."""
+        """Answer one heartbeat. A malformed one gets status 400 and changes no state."""
         try:
             heartbeat = protocol.parse_heartbeat(body)
         except protocol.BadRequestError as error:
@@ -66,13 +66,14 @@
         )
 
     def _refusal(self, heartbeat: protocol.WorkerHeartbeat, now: float) -> Response | None:
-        """Decide whether the worker is answered: the one place that does.
+        """Decide whether the heartbeat is answered. This decision is made nowhere else.
 
         Returns:
-            None if the worker is answered, which renews its lease. Else what it gets instead: 421
-            with another controller's name if this one may not answer workers, or 503 if the lease
-            has to expire because a direct start may still reach the machine, whose job was last
-            known to be open longer ago than the lease grace period.
+            None if the heartbeat is answered, which renews the worker's lease. Otherwise the
+            response to send instead: 421, with the leader's name if another controller leads, if
+            this controller may not answer workers; 503 if the worker's lease has to expire. The
+            latter is the case when a direct start may still reach the machine, and its job was last
+            known to have no final status longer ago than the lease grace period.
         """
         election = self._election
         if not election.may_answer_workers:
@@ -89,20 +90,21 @@
         return None
 
     def _lease_must_expire(self, heartbeat: protocol.WorkerHeartbeat, now: float) -> bool:
-        """Whether an answer could keep a start executable for longer than a cancellation may take.
+        """Whether a response could keep a start executable past the cancellation deadline.
 
-        If not, the answer is noted as a renewal of the lease for the starts on the machine.
+        If not, the response is recorded as a lease renewal for the machine's starts.
         """
         starts, token = self._fleet.unacknowledged_starts, self._election.fencing_token
         machine = self._fleet.find(heartbeat.host)
         if machine is None or not starts.has_any_on(machine.index):
             return False
         if not starts.may_answer(machine.index, token, now):
-            # The heartbeat itself may void the start, by a new incarnation or a higher token.
+            # The heartbeat itself may invalidate the start, by a new incarnation or a higher token.
             self._fleet.on_heartbeat(heartbeat, now, answered=False)
             if not starts.may_answer(machine.index, token, now):
                 log.info(
-                    "machine %s is not answered: a late start command may still reach it",
+                    "heartbeat of machine %s is not answered: a delayed start command may still"
+                    " reach it, so its lease has to expire",
                     machine.name,
                 )
                 return True
@@ -112,10 +114,10 @@
     def _commands_for(
         self, heartbeat: protocol.WorkerHeartbeat, now: float
     ) -> Sequence[protocol.Command]:
-        """Reconcile an answered heartbeat and return the commands for the answer.
+        """Reconcile an answered heartbeat and return the commands for its response.
 
-        Only a leader gives commands that need its authority; one that fails over or is in its lease
-        grace period only stops tasks of finished jobs.
+        Only a leader may send all commands. A controller that is failing over or in its lease grace
+        period only stops tasks of jobs with a final status.
         """
         election = self._election
         if election.role is Role.FAILING_OVER:
--- a/petrelthread/fleet/heartbeat_reconciler.py
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -1,6 +1,6 @@
-"""Reconciliation of a worker's heartbeat with what the leader knows of its machine.
+"""Reconciliation of a worker's heartbeat with the leader's state of its machine.
 
-``TaskReconciler`` does the same for the tasks that the heartbeat lists.
+``TaskReconciler`` reconciles the tasks that the heartbeat lists.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_IGNORED_STARTS = 3  # consecutive heartbeats without a start that was sent before
+MAX_IGNORED_STARTS = 3  # consecutive heartbeats that lack a start already delivered
 
 
 class HeartbeatReconciler:
-    """Updates a machine from a heartbeat of its worker, however that came."""
+    """Updates a machine from a heartbeat, received as a request or as a command response."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
         """Reconcile a heartbeat with the state.
 
         Args:
-            heartbeat: Sent by the worker by itself, or as its response to a command.
+            heartbeat: Sent by the worker on its own, or as its response to a command.
             now: Event loop time.
-            answered: Whether a response goes out that renews the worker's lease.
+            answered: Whether a response is sent that renews the worker's lease.
 
         Returns:
-            The machine; None if the heartbeat is out of date, so that its task list proves nothing.
+            The machine; None if the heartbeat is stale, so that its task list is no evidence.
         """
         machine = self._registry.get_or_add(heartbeat.host, now)
         if (heartbeat.incarnation, heartbeat.sequence_number) <= (
@@ -59,28 +59,28 @@
             machine.sequence_number,
         ):
             if answered:
-                # It was sent before the newest one came, so the answer renews the lease to no later
-                # than from then on.
+                # The worker counts the renewed lease from when it sent the heartbeat. That was
+                # before the newest one arrived.
                 machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_message_at)
             return None
         if machine.health is Health.TERMINATED:
-            return None  # a delayed message: the cloud has confirmed the machine's return
+            return None  # a delayed message: the cloud has confirmed the scale-in
         if answered:
             self._leases.on_renewed(machine, now)
         if heartbeat.incarnation > machine.incarnation:
             if machine.incarnation:
-                self._begin_incarnation(machine, heartbeat.incarnation, now)
+                self._on_new_incarnation(machine, heartbeat.incarnation, now)
             machine.incarnation_seen_at = now
         self._update_liveness(machine, heartbeat, now, answered)
         self._update_identity(machine, heartbeat)
         self._update_health(machine, heartbeat, now, answered)
         self._unacknowledged_starts.on_token_acknowledged(machine.index, machine.highest_token)
         self._task_reconciler.reconcile(machine, heartbeat, now)
-        self._detect_one_way_partition(machine, now)
+        self._detect_asymmetric_partition(machine, now)
         return machine
 
-    def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
-        """The worker has restarted: nothing of its earlier incarnation runs any more."""
+    def _on_new_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
+        """Supersede the attempts and starts that the worker's restart has ended."""
         self._leases.on_incarnation_ended(machine, now)
         reason = f"{machine.name} began incarnation {incarnation}"
         for attempt in list(self._registry.attempts_on(machine).values()):
@@ -92,19 +92,20 @@
     def _update_liveness(
         self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float, answered: bool
     ) -> None:
-        """Note what the heartbeat proves about the worker and about its lease."""
+        """Update liveness, acknowledged epoch and lease times from the heartbeat."""
         epoch = self._registry.epoch
         acknowledges_epoch = heartbeat.fencing_token >= epoch
         if not machine.incarnation or (acknowledges_epoch and answered):
-            # A heartbeat with an older token may be a copy from before the election, and a response
-            # to a command also comes from a worker that reaches no controller, whose lease expires.
-            # The first heartbeat counts, so that a new worker has time to acknowledge the epoch.
+            # A heartbeat with an older token may be a copy from before the election. A command
+            # response also comes from a worker that reaches no controller, so that its lease
+            # expires. The first heartbeat of a machine always counts, which gives a new worker time
+            # to acknowledge the epoch.
             machine.last_seen_at = now
             machine.failed_probes = 0
         if acknowledges_epoch:
             if not answered and machine.acknowledged_epoch != epoch:
-                # The worker has just taken the token from a command. Until now a former leader may
-                # have renewed its lease.
+                # The worker has just adopted the token from a command. Until now a former leader
+                # may have renewed its lease.
                 machine.lease_renewed_at = machine.renewed_without_gap_since = now
             machine.acknowledged_epoch = epoch
             machine.failed_reads = 0
@@ -149,10 +150,10 @@
             machine.transition(Health.DRAINING)
             self._callbacks.on_change()
 
-    def _detect_one_way_partition(self, machine: Machine, now: float) -> None:
-        """Stop scheduling on a machine whose heartbeats arrive but which receives nothing.
+    def _detect_asymmetric_partition(self, machine: Machine, now: float) -> None:
+        """Stop scheduling on a machine whose heartbeats arrive but which receives no messages.
 
-        It looks alive and idle, and would attract one task after the other.
+        It looks alive and idle, so the scheduler would place one task after another on it.
         """
         before = machine.partition_reason
         reason = ""
@@ -162,6 +163,6 @@
             reason = "its lease expired although its heartbeats were answered"
         machine.partition_reason = reason
         if reason and not before:
-            log.info("machine %s: one-way partition suspected: %s", machine.name, reason)
+            log.info("machine %s: asymmetric partition suspected: %s", machine.name, reason)
         elif before and not reason:
-            log.info("machine %s: one-way partition over", machine.name)
+            log.info("machine %s: asymmetric partition no longer suspected", machine.name)
--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -1,4 +1,4 @@
-"""One machine as the leader knows it, and the state machine of its health."""
+"""The leader's state of one machine, and the state machine of its health."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 
 
 class Health(Enum):
-    """Where a machine is in its life; the values are shown by the administration API.
+    """The state of a machine in its life cycle; the administration API shows the values.
 
-    The usual way is BOOTING, UP, TERMINATING, TERMINATED. ``Machine.transition`` makes every
-    change and permits only the steps in ``TRANSITIONS``:
+    The usual order is BOOTING, UP, TERMINATING, TERMINATED. All changes go through
+    ``Machine.transition``, which permits only those in ``TRANSITIONS``. Who sets each state:
 
-    - UP: ``HeartbeatReconciler``, on the first heartbeat, or on an answered one afterwards.
+    - UP: ``HeartbeatReconciler``, on the first heartbeat. An UNRESPONSIVE machine also has to
+      have acknowledged the present epoch, and the heartbeat has to be answered.
+      ``MachineRegistry.begin_epoch`` sets it for BOOTING machines that have attempts.
     - DRAINING: ``HeartbeatReconciler``, when the heartbeat carries a spot termination notice.
     - UNRESPONSIVE: ``FailureDetector`` only.
-    - TERMINATING, TERMINATED: the provisioner, when a return is recorded and when it is confirmed.
+    - TERMINATING, TERMINATED: the provisioner, when a scale-in is recorded and when it is
+      confirmed.
     """
 
-    BOOTING = "booting"  # rented or listed by the cloud; its worker has not reported yet
+    BOOTING = "booting"  # rented or listed by the cloud; no heartbeat received yet
     UP = "up"
-    DRAINING = "draining"  # about to be reclaimed or returned: receives no new work
-    UNRESPONSIVE = "silent"  # no heartbeat for too long; its tasks may still run
-    TERMINATING = "returning"  # its return is recorded or sent, but not confirmed
-    TERMINATED = "gone"  # the cloud has confirmed the return
+    DRAINING = "draining"  # about to be reclaimed or returned; no new work is placed on it
+    UNRESPONSIVE = "silent"  # heartbeat, reads or probes failed; its tasks may still run
+    TERMINATING = "returning"  # its scale-in is recorded or sent, but not confirmed
+    TERMINATED = "gone"  # the cloud has confirmed the scale-in
 
 
 TRANSITIONS = {
@@ -39,8 +42,8 @@
 }
 
 
-# Names of the attributes of Machine that decide whether, and for what, it may be given work. A
-# change of one of them makes the scheduler look at the machine again.
+# The attributes of Machine that decide whether work may be placed on it, and which. Changing one of
+# them makes the scheduler reconsider the machine.
 SCHEDULING_FIELDS = frozenset(
     {
         "acknowledged_epoch",
@@ -58,71 +61,71 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """What the leader knows of one machine.
+    """The leader's state of one machine, kept in memory only.
 
-    Fields that end in ``_at`` or ``_since`` are instants of the event loop's clock, those in
-    ``_s`` durations; both are in seconds. Nothing of this is durable.
+    Fields that end in ``_at`` or ``_since`` are event loop times, those that end in ``_s`` are
+    durations; both are in seconds.
     """
 
-    # Identity, from the cloud's list or the worker's heartbeat
+    # Identity, from the cloud's machine list or the worker's heartbeat
     index: int  # among the interned machine names
     name: str
     now: InitVar[float]
-    # Receives the machine's index whenever a scheduling field changes.
+    # Gets the machine's index added whenever a scheduling field changes.
     changed_machines: set[int] = field(default_factory=set, repr=False)
     address: str = ""  # host:port of the worker; empty while unknown
     machine_type: int = -1  # among the interned type names; -1 while unknown
     zone: int = -1  # among the interned zone names; -1 while unknown
-    spot: bool = False  # else on-demand
+    spot: bool = False  # spot, as opposed to on-demand
 
     # Life cycle
     health: Health = Health.BOOTING
-    registered_at: float = field(init=False)  # when this leader first knew of it
+    registered_at: float = field(init=False)  # when this leader first learned of it
     rented_at: float = field(init=False)
-    idle_since: float = field(init=False)  # when it last had a task, or came up
-    scale_out_key: str = ""  # key of the scale-out record that brought it; empty if none is known
-    listed: bool = False  # the cloud's list has contained it
-    missing_from_lists: int = 0  # consecutive lists that lacked it since then
+    idle_since: float = field(init=False)  # when it last had a task, or became UP
+    scale_out_key: str = ""  # key of the scale-out record that rented it; empty if unknown
+    listed: bool = False  # whether the cloud's list has ever contained it
+    missing_from_lists: int = 0  # consecutive lists without it since it was last listed
     spot_notice_s: float | None = None  # time left until the cloud reclaims it, as last reported
-    spot_notice_at: float = 0.0  # when the notice first came
+    spot_notice_at: float = 0.0  # when the notice was first received
 
     # Heartbeats
     incarnation: int = 0  # of its worker; 0 until the first heartbeat
     incarnation_seen_at: float = field(init=False)  # first heartbeat of that incarnation
     sequence_number: int = -1  # of the newest heartbeat
     last_message_at: float = field(init=False)  # newest heartbeat or command response
-    last_seen_at: float = field(init=False)  # newest proof that the worker is alive
+    last_seen_at: float = field(init=False)  # newest evidence that the worker is alive
 
     # Fencing
-    highest_token: int = 0  # the worker refuses commands with a lower one
-    acknowledged_epoch: int = 0  # newest epoch that the worker has shown to know
-    answered_epoch: int = 0  # newest epoch in which a heartbeat of it was answered
+    highest_token: int = 0  # the worker rejects commands with a lower fencing token
+    acknowledged_epoch: int = 0  # newest epoch that the worker is known to have seen
+    answered_epoch: int = 0  # newest epoch in which one of its heartbeats was answered
 
     # Lease of the worker
-    lease_renewed_at: float = 0.0  # last instant at which an answer may have renewed it
-    renewed_without_gap_since: float = field(init=False)  # renewals came often enough since then
-    lease_losses: int = 0  # consecutive expiries although the heartbeats were answered
-    lease_lost_at: float = 0.0  # the newest of them
+    lease_renewed_at: float = 0.0  # when a heartbeat response may last have renewed it
+    renewed_without_gap_since: float = field(init=False)  # since then none was late
+    lease_losses: int = 0  # consecutive expiries although heartbeats were answered
+    lease_lost_at: float = 0.0  # time of the newest such expiry
 
-    # Checks by the leader itself
+    # Reads and probes of the worker's status
     last_read_at: float = NEVER  # when it last tried to read the worker's status
     failed_reads: int = 0  # consecutive reads without a response
-    probing: bool = False  # a probe is under way
+    probing: bool = False  # a probe is in flight
     failed_probes: int = 0  # consecutive probes without a response
 
     # Direct commands
     commands_in_flight: int = 0
-    last_unanswered_at: float = 0.0  # when a command was last given up without a response
+    last_unanswered_at: float = 0.0  # when a command last timed out or failed without a response
 
     # Exclusion from scheduling
-    ignored_starts: int = 0  # consecutive heartbeats without a start that was sent before
+    ignored_starts: int = 0  # consecutive heartbeats that lack a start already delivered
     ignored_starts_since: float = 0.0
-    partition_reason: str = ""  # why a one-way partition is suspected; empty if it is not
-    quarantine_reason: str = ""  # why it has to be returned; empty if it has not
-    cordoned: bool = False  # surplus capacity: receives no new work for the time being
+    partition_reason: str = ""  # why an asymmetric partition is suspected; empty if not
+    quarantine_reason: str = ""  # why the machine must be returned; empty if not
+    cordoned: bool = False  # surplus capacity: no new work is placed on it for now
 
     images: dict[int, float] = field(default_factory=dict)
-    """The cached images by index, least recently used first, with their size in GB."""
+    """The cached images by index, least recently used first, with their sizes in GB."""
 
     def __post_init__(self, now: float) -> None:
         self.registered_at = now
@@ -133,7 +136,7 @@
         self.last_seen_at = now
         self.renewed_without_gap_since = now
 
-    if not TYPE_CHECKING:  # A visible __setattr__ would let assignments to unknown names pass mypy.
+    if not TYPE_CHECKING:  # With a visible __setattr__, mypy accepts unknown attributes.
 
         def __setattr__(self, name: str, value: object) -> None:
             if name in SCHEDULING_FIELDS and getattr(self, name, None) != value:
@@ -141,7 +144,7 @@
             object.__setattr__(self, name, value)
 
     def transition(self, target: Health) -> None:
-        """Change the machine's health; the only place that does."""
+        """Change the machine's health. All changes of it go through this method."""
         if target is self.health:
             return
         assert target in TRANSITIONS[self.health], f"{self.name}: {self.health} to {target}"
@@ -149,11 +152,11 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether its own condition lets it be given work; see ``Fleet.is_schedulable``."""
+        """Whether its health allows new work, apart from fencing; see ``Fleet.is_schedulable``."""
         return self.health is Health.UP and not self.quarantine_reason and not self.partition_reason
 
     def use_image(self, image: int, size_gb: float, cache_gb: float) -> None:
-        """Mark a cached image as the one used last; evict the oldest beyond ``cache_gb``."""
+        """Mark an image as most recently used, and evict the oldest beyond ``cache_gb``."""
         if image not in self.images:
             self.changed_machines.add(self.index)
         self.images.pop(image, None)
@@ -164,6 +167,6 @@
             total -= self.images.pop(oldest)
 
     def forget_images(self) -> None:
-        """Empty the image cache, as a new incarnation does."""
+        """Empty the image cache; a new incarnation of the worker starts without images."""
         self.images.clear()
         self.changed_machines.add(self.index)
--- a/petrelthread/fleet/task_reconciler.py
+++ b/petrelthread/fleet/task_reconciler.py
@@ -1,4 +1,4 @@
-"""Reconciliation of the tasks that a heartbeat lists with the attempts on record."""
+"""Reconciliation of the tasks that a heartbeat lists with the recorded attempts."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 log = logging.getLogger(__name__)
 
-BEFORE_RUNNING = ("", protocol.TaskState.FETCHING, protocol.TaskState.GATHERING)
-HAS_RUN = (protocol.TaskState.RUNNING, protocol.TaskState.SAVING)
-REFUSALS = (
+STATES_BEFORE_RUNNING = ("", protocol.TaskState.FETCHING, protocol.TaskState.GATHERING)
+STATES_AFTER_START = (protocol.TaskState.RUNNING, protocol.TaskState.SAVING)
+REFUSAL_CAUSES = (
     protocol.ExitCause.NO_ROOM,
     protocol.ExitCause.IN_USE,
     protocol.ExitCause.UNKNOWN_TASK,
 )
 REFUSED_RETRY_DELAY_S = 1.0
-REPLICA_STABLE_AFTER_S = 8.0  # a replica that runs so long shows that its job works
+REPLICA_STABLE_AFTER_S = 8.0  # a replica that has run this long shows that its job works
 
 
 class TaskReconciler:
-    """Moves attempts on according to what their worker lists, or no longer lists."""
+    """Advances attempts according to what their worker lists, or no longer lists."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
     def _reconcile_all_listed(
         self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float
     ) -> set[TaskKey]:
-        """Reconcile each listed task. Returns those that have an attempt on record here."""
+        """Reconcile each listed task. Returns those with a recorded attempt on this machine."""
         listed: set[TaskKey] = set()
         has_unacknowledged = self._unacknowledged_starts.has_any_on(machine.index)
         for task_report in heartbeat.tasks:
@@ -102,10 +102,10 @@
         task: int,
         task_report: protocol.TaskReport,
     ) -> Attempt | None:
-        """Record a running attempt that is not on record, so that it is not started elsewhere too.
+        """Record a running attempt that is missing, so that its task is not started elsewhere too.
 
         Returns:
-            The new attempt; None if the attempt is over, or its task is not pending.
+            The new attempt; None if the attempt has exited, or its task is not pending.
         """
         if task_report.state == protocol.TaskState.EXITED:
             if task_report.exit_cause == protocol.ExitCause.DONE and not job.is_service:
@@ -114,7 +114,7 @@
             return None
         if job.final_status is not None or job.task_states[task] != TASK_PENDING:
             return None
-        log.info("machine %s runs unrecorded task %s/%d: adopted", machine.name, job.id, task)
+        log.info("machine %s runs unrecorded task %s/%d: recorded", machine.name, job.id, task)
         return self._cluster_state.add_attempt(
             task_report.attempt, job, task, machine.index, incarnation
         )
@@ -122,7 +122,7 @@
     def _reconcile_listed(
         self, machine: Machine, attempt: Attempt, task_report: protocol.TaskReport, now: float
     ) -> None:
-        """Apply the reported state of an attempt on record."""
+        """Apply the reported state of a recorded attempt."""
         job, state = attempt.job, task_report.state
         if attempt.state is not OperationState.CONFIRMED:
             transition(attempt, OperationState.CONFIRMED)
@@ -133,7 +133,7 @@
             attempt.proven_stable = 0 < attempt.running_at < now - REPLICA_STABLE_AFTER_S
             if attempt.proven_stable:
                 self._job_failures.on_completed(machine, job, attempt.task)
-        if state in HAS_RUN and before in BEFORE_RUNNING:
+        if state in STATES_AFTER_START and before in STATES_BEFORE_RUNNING:
             attempt.running_at = now
             self._use_image(machine, job)
         if state == protocol.TaskState.EXITED and before != protocol.TaskState.EXITED:
@@ -155,13 +155,13 @@
             return
         if cause == protocol.ExitCause.ERROR:
             self._job_failures.on_failed(machine, job, attempt.task, now)
-        elif cause in REFUSALS:
+        elif cause in REFUSAL_CAUSES:
             log.info("machine %s refused %s/%d: %s", machine.name, job.id, attempt.task, cause)
             job.retry_at = max(job.retry_at, now + REFUSED_RETRY_DELAY_S)
         elif task_report.progress_saved:
             self._outcomes.credit_checkpoint(attempt, stopped=True)
-        # The worker lists the attempt until it is told to forget it, so that no late command can
-        # start it again.
+        # The worker keeps listing the attempt until it gets a forget command, so that no delayed
+        # command can start it again.
         self._outcomes.supersede(attempt, f"ended: {cause}")
 
     def _on_done(self, machine: Machine, attempt: Attempt, now: float) -> None:
@@ -179,20 +179,20 @@
     # ---- missing tasks ---------------------------------------------------------------------------
 
     def _reconcile_missing(self, machine: Machine, attempt: Attempt) -> None:
-        """Supersede an attempt that the newest heartbeat lacks, if that proves that it is over."""
-        if machine.commands_in_flight or self._unacknowledged_starts.holds(
+        """Supersede an attempt that the newest heartbeat lacks, if that proves that it ended."""
+        if machine.commands_in_flight or self._unacknowledged_starts.contains(
             machine.index, key_of(attempt)
         ):
-            return  # a direct command may still start it
+            return  # a delayed direct command may still start it
         if attempt.state is OperationState.CONFIRMED:
             if not attempt.has_exited:
                 self._outcomes.supersede(attempt, f"{machine.name} no longer lists it")
             return
         epoch = self._registry.epoch
         if epoch_of(attempt.number) >= epoch:
-            return  # a start of this epoch is sent again; one of a newer leader is not ours to end
+            return  # this epoch's start is sent again; a newer epoch's belongs to its leader
         if machine.highest_token >= epoch:
-            # The worker refuses the commands of all older leaders.
+            # The worker rejects the commands of all former leaders.
             self._outcomes.supersede(
                 attempt, f"{machine.name} does not list it and acknowledges epoch {epoch}"
             )
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -50,8 +50,8 @@
     def cancel(self) -> None:
         self.fleet.cluster_state.set_final_status(self.attempt.job.id, JobStatus.CANCELLED)
 
-    def holds(self) -> bool:
-        return self.starts.holds(self.machine.index, key_of(self.attempt))
+    def is_tracked(self) -> bool:
+        return self.starts.contains(self.machine.index, key_of(self.attempt))
 
 
 @pytest.fixture
@@ -60,10 +60,10 @@
 
 
 def test_start_is_held_from_sending_until_its_response(sent: SentStart) -> None:
-    assert sent.holds()
+    assert sent.is_tracked()
     assert not sent.starts.count()
     sent.starts.on_acknowledged(sent.attempt)
-    assert not sent.holds()
+    assert not sent.is_tracked()
     assert not sent.starts.has_any_on(sent.machine.index)
 
 
@@ -73,7 +73,7 @@
     fleet, machine = sent.fleet, sent.machine
     fleet.on_heartbeat(heartbeat(2), AT + 1.0, answered=True)
     sent.starts.expire_leases(AT + LEASE_S)
-    assert sent.holds()
+    assert sent.is_tracked()
     if evidence == "token":
         fleet.on_heartbeat(heartbeat(3, EPOCH + 1), AT + 2.0, answered=True)
     elif evidence == "incarnation":
@@ -82,18 +82,18 @@
         fleet.mark_lost(machine, "returned")
     else:
         sent.starts.expire_leases(AT + LEASE_S * 1.002 + 0.6)
-    assert not sent.holds()
+    assert not sent.is_tracked()
 
 
 def test_answer_with_same_token_keeps_start_executable_for_another_lease(sent: SentStart) -> None:
     sent.give_up()
     sent.starts.on_lease_renewed(sent.machine.index, EPOCH, AT + 8.0)
     sent.starts.expire_leases(AT + 8.0 + LEASE_S)
-    assert sent.holds()
+    assert sent.is_tracked()
     # An answer with a higher token makes it void where it arrives, and prolongs nothing else.
     sent.starts.on_lease_renewed(sent.machine.index, EPOCH + 1, AT + 15.0)
     sent.starts.expire_leases(AT + 8.0 + LEASE_S + 0.6)
-    assert not sent.holds()
+    assert not sent.is_tracked()
 
 
 def test_start_to_worker_without_this_epoch_outlasts_grace_period_of_former_leader(
@@ -102,9 +102,9 @@
     sent.machine.acknowledged_epoch = EPOCH - 1
     sent.fleet.on_start_sent(sent.attempt, sent.machine, AT + 1.0)
     sent.starts.expire_leases(AT + LEASE_GRACE_S + LEASE_S)
-    assert sent.holds()
+    assert sent.is_tracked()
     sent.starts.expire_leases(AT + LEASE_GRACE_S + LEASE_S + 0.6)
-    assert not sent.holds()
+    assert not sent.is_tracked()
 
 
 @pytest.mark.parametrize("how", ["cancelled", "stopped"])
@@ -129,7 +129,7 @@
     sent.give_up()
     old_s = STALE_AFTER_LEASES * LEASE_S
     assert sent.starts.raise_reason(EPOCH, AT + old_s - 0.1) is None
-    assert sent.starts.raise_reason(EPOCH, AT + old_s + 0.1) is RaiseReason.OLD
+    assert sent.starts.raise_reason(EPOCH, AT + old_s + 0.1) is RaiseReason.STALE
 
 
 def test_listed_attempt_needs_no_raise_and_is_not_forgotten_before_command_is_void(
@@ -161,13 +161,13 @@
     sent.give_up()
     transition(sent.attempt, OperationState.UNKNOWN)
     sent.cancel()
-    for sequence_number, token, held in ((2, EPOCH, True), (3, EPOCH + 1, False)):
+    for sequence_number, token, tracked in ((2, EPOCH, True), (3, EPOCH + 1, False)):
         without_task = heartbeat(sequence_number, token)
         sent.fleet.on_heartbeat(without_task, AT + sequence_number, answered=True)
         assert not CommandPlanner(sent.fleet).for_heartbeat(
             sent.machine, without_task, AT + sequence_number, may_start=True
         )
-        assert bool(sent.fleet.attempts_on(sent.machine)) is held
+        assert bool(sent.fleet.attempts_on(sent.machine)) is tracked
 
 
 def test_worker_is_not_answered_if_cancelled_start_could_outlast_the_bound(sent: SentStart) -> None:
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -1,45 +1,46 @@
-"""The life of a start command, and the starts whose outcome is not known yet.
+"""The life cycle of a start command, and the direct starts that may still take effect.
 
-The life of one start, from the claim until it is settled; ``Attempt.state`` in brackets:
+The life cycle from the claim to the end of the attempt, with ``Attempt.state`` in brackets:
 
 ============ =======================================================================================
 claimed      The claim of a round is committed. ``ClaimApplier`` records the attempt through
              ``ClusterState.apply_round`` [DISPATCHING] and passes it to ``CommandDispatcher.send``.
              All other controllers, and the next leader, record it as [UNKNOWN].
-sent         ``CommandDispatcher`` sends a direct command; ``Fleet.on_start_sent`` calls ``on_sent``
-             before. Or ``CommandPlanner`` puts the start into the answer to a heartbeat, as long as
-             the worker does not list it; that way is not tracked here, because a worker drops an
-             answer that comes too late.
-acknowledged The worker responds to the direct command, or the command never left:
+sent         ``CommandDispatcher`` sends a direct command, after ``Fleet.on_start_sent`` has called
+             ``on_sent``. Or ``CommandPlanner`` puts the start into heartbeat responses until the
+             worker lists it; these starts are not tracked here, because a worker drops a heartbeat
+             response that arrives too late.
+acknowledged The worker has responded to the direct command, or the command was not sent after all:
              ``CommandDispatcher`` calls ``on_acknowledged``.
 unanswered   No response in time: ``CommandDispatcher`` calls ``on_no_response`` [UNKNOWN]. The
              command may arrive at any time, even much later.
 listed       A heartbeat lists the attempt: ``TaskReconciler`` calls ``on_listed`` [CONFIRMED].
-             While it is listed, a late command has no effect. After a failover it is [UNKNOWN]
+             While it is listed, a delayed command has no effect. After a failover it is [UNKNOWN]
              until it is listed again.
-void         The command can have no effect any more, because the worker has shown a higher fencing
+invalidated  The command can no longer take effect. Either the worker has shown a higher fencing
              token (``HeartbeatReconciler`` calls ``on_token_acknowledged``) or a new incarnation,
              or its machine is lost (``HeartbeatReconciler`` and ``AttemptOutcomes.mark_lost`` call
              ``on_incarnation_ended``), or its lease has expired (``FailureDetector.check`` calls
              ``expire_leases``).
-superseded   The attempt is certainly over without being done: ``AttemptOutcomes.supersede``
-             [SUPERSEDED], called by ``TaskReconciler`` when the task has exited or its absence
-             proves something, by ``HeartbeatReconciler`` for a new incarnation, by ``mark_lost``,
-             and by ``CommandPlanner`` for an unwanted start that was never listed. The task may
-             start elsewhere.
+superseded   The attempt has certainly ended without finishing its task:
+             ``AttemptOutcomes.supersede`` [SUPERSEDED], called by ``TaskReconciler`` when the task
+             has exited or its absence proves that it ended, by ``HeartbeatReconciler`` for a new
+             incarnation, by ``mark_lost``, and by ``CommandPlanner`` for an unwanted start that was
+             never listed. The task may start elsewhere.
 finished     The task is done: ``AttemptOutcomes.finish``. The next claim records it, and
              ``ClusterState.release`` drops the attempt.
 ============ =======================================================================================
 
 A worker executes a direct command as long as its fencing token and incarnation match, however late
-it arrives, and the sender cannot revoke it. From sent until acknowledged or void, a start is
-therefore held here: meanwhile the attempt is neither superseded for being absent from a heartbeat
-(``holds``) nor forgotten by its worker. Two means end that in time for a cancellation:
-
-- ``raise_reason``, asked by the scheduling loop: the leader raises its fencing token, which makes
-  earlier commands void on every machine that gets an answer;
-- ``may_answer``, asked by ``HeartbeatHandler``: if the token cannot be raised, the worker gets no
-  answer, and its lease expires.
+it arrives, and the sender cannot revoke it. A start is therefore tracked here from sent until
+acknowledged or invalidated. Meanwhile a heartbeat that lacks the attempt does not supersede it
+(``contains``), and its worker gets no forget command for it. Two mechanisms keep such a start from
+taking effect past the cancellation deadline of its job:
+
+- ``raise_reason``, called by the scheduling loop: the leader raises its fencing token, which
+  invalidates earlier commands on every machine that receives a heartbeat response;
+- ``may_answer``, called by ``HeartbeatHandler``: if the token cannot be raised, the worker's
+  heartbeats are not answered, and its lease expires.
 """
 
 from __future__ import annotations
@@ -55,19 +56,20 @@
 
 log = logging.getLogger(__name__)
 
-# A worker reports at once on seeing a higher token, but at most this often (PROTOCOL).
+# A worker that sees a higher token sends a heartbeat at once, but at most this often (PROTOCOL).
 RAISE_INTERVAL_LEASES = 0.5
-# The rest of the grace period has to suffice for writing the token and for answering workers.
+# The rest of the grace period has to suffice for writing the token and for answering heartbeats.
 RAISE_INTERVAL_GRACE_SHARE = 1 / 3
 MIN_RAISE_INTERVAL_S = 1.0
-# Age at which a start that is still wanted is made void; it only delays forgetting its attempt.
+# Age, in leases, at which a start that is still wanted is invalidated. Until then it only delays
+# the forget command for its attempt.
 STALE_AFTER_LEASES = 4.0
-# The part of the time for a cancellation that ``Settings.lease_grace_s`` leaves free.
-BOUND_MARGIN_S = 3.0
+# The part of the cancellation deadline that ``Settings.lease_grace_s`` leaves for messages.
+CANCELLATION_MARGIN_S = 3.0
 
 
 class StartKey(NamedTuple):
-    """Names one attempt: the indices of job and task, and the attempt's number."""
+    """Identifies one attempt: the indices of job and task, and the attempt's number."""
 
     job: int
     task: int
@@ -75,29 +77,29 @@
 
 
 def key_of(attempt: Attempt) -> StartKey:
-    """Return what names the attempt on its machine."""
+    """Return the key that identifies the attempt on its machine."""
     return StartKey(attempt.job.index, attempt.task, attempt.number)
 
 
 @dataclass
 class UnacknowledgedStart:
-    """One direct start command without a response so far. Instants are the event loop's."""
+    """One direct start command without a response. ``_at`` fields are event loop times."""
 
     attempt: Attempt
     machine: str
     fencing_token: int
     sent_at: float
-    renewed_at: float  # the last instant at which an answer may have prolonged its validity
-    known_open_at: float  # the newest instant at which the job certainly had no final status
-    unanswered: bool = False  # given up; else its response may still come in time
-    listed: bool = False  # the worker lists the attempt, so the command has no effect
-    bound_reported: bool = False
+    renewed_at: float  # when a heartbeat response may last have renewed the worker's lease
+    known_open_at: float  # latest time at which the job certainly had no final status
+    unanswered: bool = False  # whether the wait for a response has ended without one
+    listed: bool = False  # whether the worker lists the attempt, so that the command has no effect
+    overdue_reported: bool = False
 
     @property
     def is_unwanted(self) -> bool:
-        """Whether it may still take effect although its job is over or it was to be stopped."""
-        over = self.attempt.job.final_status is not None or self.attempt.stop_requested_at > 0
-        return over and not self.listed and self.attempt.state is not OperationState.CONFIRMED
+        """Whether it may still take effect although its job has ended or a stop is requested."""
+        ended = self.attempt.job.final_status is not None or self.attempt.stop_requested_at > 0
+        return ended and not self.listed and self.attempt.state is not OperationState.CONFIRMED
 
     def __str__(self) -> str:
         attempt = self.attempt
@@ -111,46 +113,47 @@
 
 
 class RaiseReason(Enum):
-    """Why the fencing token should be raised; the values are logged."""
+    """Why the fencing token has to be raised; the values are logged."""
 
     UNWANTED = "starts that are no longer wanted may still be carried out"
-    OLD = "unanswered starts keep attempts from being forgotten"
+    STALE = "unanswered starts keep attempts from being forgotten"
 
 
 class UnacknowledgedStarts:
-    """All direct starts that may still be carried out, by machine index."""
+    """All direct starts that may still take effect, by machine index."""
 
     def __init__(
         self, lease_s: float, lease_grace_s: float, state_current_as_of: Callable[[], float]
     ) -> None:
-        """Hold no start yet.
+        """Track no starts yet.
 
         Args:
             lease_s: The duration of a worker's lease.
-            lease_grace_s: How long after the newest read of the state a worker may be answered, so
-                that the lease which that renews ends in time for a cancellation.
+            lease_grace_s: How long after the newest read of the state a heartbeat may be answered,
+                so that the renewed lease expires before the cancellation deadline.
             state_current_as_of: The start of the newest complete read of the state service.
         """
         self._lease_s = lease_s
         self._lease_grace_s = lease_grace_s
         self._by_machine: dict[int, dict[StartKey, UnacknowledgedStart]] = {}
-        self._raised_at = float("-inf")
+        self._raise_attempted_at = float("-inf")
         self._state_current_as_of = state_current_as_of
-        self.past_bound_count = 0  # starts that outlived the time for a cancellation; stays 0
+        self.past_bound_count = 0  # starts possible past the cancellation deadline; should stay 0
 
-    # ---- steps in the life of a start ------------------------------------------------------------
+    # ---- steps of the life cycle -----------------------------------------------------------------
 
     def on_sent(
         self, attempt: Attempt, machine: str, token: int, now: float, renewed_at: float
     ) -> None:
-        """Hold a start that leaves now, straight to its machine.
+        """Track a start that is sent directly to its machine now.
 
         Args:
             attempt: Its job has no final status.
             machine: The name of its machine.
             token: The fencing token of the command.
             now: Event loop time.
-            renewed_at: Until when answers with lower tokens may have renewed the worker's lease.
+            renewed_at: Latest time at which earlier responses, or a former leader's, may renew the
+                worker's lease.
         """
         starts = self._by_machine.setdefault(attempt.machine, {})
         starts[key_of(attempt)] = UnacknowledgedStart(
@@ -158,71 +161,74 @@
         )
 
     def on_acknowledged(self, attempt: Attempt) -> None:
-        """Drop a start: the worker has responded to the command, or it never left."""
+        """Stop tracking a start: the worker has responded, or the command was not sent."""
         starts = self._by_machine.get(attempt.machine, {})
         starts.pop(key_of(attempt), None)
         if not starts:
             self._by_machine.pop(attempt.machine, None)
 
     def on_no_response(self, attempt: Attempt) -> None:
-        """The dispatcher waits no longer for a response; the command may arrive at any time."""
+        """Record that no response came in time; the command may still arrive at any time."""
         start = self._by_machine.get(attempt.machine, {}).get(key_of(attempt))
         if start is not None:
             start.unanswered = True
             log.info(
-                "%s is unacknowledged: sent with token %d, no response", start, start.fencing_token
+                "%s is unacknowledged: no response to the command with token %d",
+                start,
+                start.fencing_token,
             )
 
     def on_listed(self, machine: int, key: StartKey) -> None:
-        """The worker lists the attempt. As long as it does, the command has no effect."""
+        """Record that the worker lists the attempt. While it does, the command has no effect."""
         start = self._by_machine.get(machine, {}).get(key)
         if start is not None:
             start.listed = True
 
     def on_token_acknowledged(self, machine: int, token: int) -> None:
-        """The machine's worker refuses commands with a lower token from now on."""
+        """Invalidate starts with a lower token, which the machine's worker now rejects."""
         reason = f"its machine acknowledges token {token}"
-        self._void(machine, reason, lambda start: start.fencing_token < token)
+        self._invalidate(machine, reason, lambda start: start.fencing_token < token)
 
     def on_incarnation_ended(self, machine: int, reason: str) -> None:
-        """The machine's worker refuses commands for its earlier incarnation from now on."""
-        self._void(machine, reason, _any_start)
+        """Invalidate the machine's starts, which were meant for an ended incarnation."""
+        self._invalidate(machine, reason, _any_start)
 
     def expire_leases(self, now: float) -> None:
-        """Void what no worker can carry out any more, since its lease has expired.
+        """Invalidate starts whose worker's lease has expired since the last possible renewal.
 
-        An answer either arrives, and with it a higher token, or does not renew the lease.
+        Responses with a higher token do not count as renewals: one that arrives invalidates the
+        start by its token, and one that is lost does not renew the lease.
         """
         lease_s = longest_lease_s(self._lease_s)
         reason = "no answer with its token went to its machine for a lease"
         for machine in list(self._by_machine):
-            self._void(machine, reason, lambda start: now > start.renewed_at + lease_s)
-        self._check_bound(now)
+            self._invalidate(machine, reason, lambda start: now > start.renewed_at + lease_s)
+        self._report_overdue(now)
 
-    def _void(
-        self, machine: int, reason: str, is_void: Callable[[UnacknowledgedStart], bool]
+    def _invalidate(
+        self, machine: int, reason: str, is_invalid: Callable[[UnacknowledgedStart], bool]
     ) -> None:
-        """Drop those starts on the machine that can have no effect any more."""
+        """Stop tracking those starts on the machine that can no longer take effect."""
         starts = self._by_machine.get(machine)
         if starts is None:
             return
         for key, start in list(starts.items()):
-            if not is_void(start):
+            if not is_invalid(start):
                 continue
             del starts[key]
             if start.unanswered:
-                log.info("%s, unacknowledged so far, is void: %s", start, reason)
+                log.info("unacknowledged %s can no longer take effect: %s", start, reason)
         if not starts:
             del self._by_machine[machine]
 
     # ---- queries ---------------------------------------------------------------------------------
 
-    def holds(self, machine: int, key: StartKey) -> bool:
-        """Whether the attempt may still begin, or begin again, by a late command."""
+    def contains(self, machine: int, key: StartKey) -> bool:
+        """Whether a delayed command may still start the attempt, or start it again."""
         return key in self._by_machine.get(machine, {})
 
     def has_any_on(self, machine: int) -> bool:
-        """Whether the machine may still receive a late start."""
+        """Whether the machine may still receive a delayed start."""
         return machine in self._by_machine
 
     def _all(self) -> Iterator[UnacknowledgedStart]:
@@ -230,20 +236,20 @@
             yield from starts.values()
 
     def count(self) -> int:
-        """How many starts are unanswered and not void."""
+        """Return how many unanswered starts may still take effect."""
         return sum(start.unanswered for start in self._all())
 
     def oldest_age_s(self, now: float) -> float:
-        """The age of the oldest unanswered start in seconds; 0 if there is none."""
+        """Return the age of the oldest unanswered start in seconds; 0 if there is none."""
         return max((now - start.sent_at for start in self._all() if start.unanswered), default=0.0)
 
     # ---- raising the token -----------------------------------------------------------------------
 
     @property
     def raise_interval_s(self) -> float:
-        """Seconds between two raises of the token, at least.
+        """The minimum time between two raises of the token, in seconds.
 
-        Each costs two writes to the state service, and makes workers report once more.
+        Each raise costs two writes to the state service and an extra heartbeat of every worker.
         """
         interval_s = min(
             RAISE_INTERVAL_LEASES * self._lease_s, RAISE_INTERVAL_GRACE_SHARE * self._lease_grace_s
@@ -251,11 +257,12 @@
         return max(MIN_RAISE_INTERVAL_S, interval_s)
 
     def raise_reason(self, token: int, now: float) -> RaiseReason | None:
-        """Why the fencing token, now ``token``, should be raised; None if it should not.
+        """Return why the fencing token, now ``token``, has to be raised; None if it does not.
 
-        A start with a lower token needs no raise: the next answer that arrives makes it void.
+        A start with a lower token needs no raise: the next heartbeat response that arrives
+        invalidates it.
         """
-        if now - self._raised_at < self.raise_interval_s:
+        if now - self._raise_attempted_at < self.raise_interval_s:
             return None
         reason = None
         for start in self._all():
@@ -264,30 +271,31 @@
             if start.is_unwanted:
                 return RaiseReason.UNWANTED
             if now - start.sent_at > STALE_AFTER_LEASES * self._lease_s:
-                reason = RaiseReason.OLD
+                reason = RaiseReason.STALE
         return reason
 
     def on_raise_attempted(self, now: float) -> None:
-        """The token was raised, or that failed."""
-        self._raised_at = now
+        """Record the time of a raise of the token, successful or not."""
+        self._raise_attempted_at = now
 
-    # ---- answering workers -----------------------------------------------------------------------
+    # ---- answering heartbeats --------------------------------------------------------------------
 
     def may_answer(self, machine: int, token: int, now: float) -> bool:
-        """Whether an answer with this token may renew the lease of the machine's worker.
+        """Whether a heartbeat response with this token may renew the lease of the machine's worker.
 
-        An answer with a higher token makes a start void where it arrives. One with the same token
-        keeps it executable for another lease, which must end in time for a cancellation.
+        A response with a higher token than a start invalidates the start when it arrives. One with
+        the same token keeps it executable for another lease, which must expire before the
+        cancellation deadline.
         """
         for start in self._by_machine.get(machine, {}).values():
             self._update_known_open(start)
-            late = now >= start.known_open_at + self._lease_grace_s
-            if late and start.fencing_token >= token and not start.listed:
+            grace_over = now >= start.known_open_at + self._lease_grace_s
+            if grace_over and start.fencing_token >= token and not start.listed:
                 return False
         return True
 
     def on_lease_renewed(self, machine: int, token: int, now: float) -> None:
-        """An answer with this token goes to the machine's worker."""
+        """Record that a heartbeat response with this token is sent to the machine's worker."""
         for start in self._by_machine.get(machine, {}).values():
             if start.fencing_token >= token:
                 start.renewed_at = now
@@ -296,18 +304,20 @@
         if start.attempt.job.final_status is None:
             start.known_open_at = max(start.known_open_at, self._state_current_as_of())
 
-    def _check_bound(self, now: float) -> None:
-        """Report starts of finished jobs that are possible for longer than a cancellation has."""
-        bound_s = self._lease_grace_s + self._lease_s * CLOCK_DRIFT_FACTOR + BOUND_MARGIN_S
+    def _report_overdue(self, now: float) -> None:
+        """Report starts that may take effect past the cancellation deadline of their job."""
+        deadline_s = (
+            self._lease_grace_s + self._lease_s * CLOCK_DRIFT_FACTOR + CANCELLATION_MARGIN_S
+        )
         for start in self._all():
             self._update_known_open(start)
-            over = start.attempt.job.final_status is not None and not start.listed
-            if not over or start.bound_reported or now < start.known_open_at + bound_s:
+            unwanted = start.attempt.job.final_status is not None and not start.listed
+            if not unwanted or start.overdue_reported or now < start.known_open_at + deadline_s:
                 continue
-            start.bound_reported = True
+            start.overdue_reported = True
             self.past_bound_count += 1
             log.error(
-                "%s, sent %.1f s ago with token %d, is possible %.1f s after its job was over",
+                "%s, sent %.1f s ago with token %d, is possible %.1f s after its job ended",
                 start,
                 now - start.sent_at,
                 start.fencing_token,
