--- a/petrelthread/fleet/__init__.py
+++ b/petrelthread/fleet/__init__.py
@@ -1,14 +1,15 @@
-"""Machines and the attempts on them: heartbeats, leases, commands, and detection of failures.
+"""Machines and the attempts on them: heartbeats, leases, commands, and failure detection.
 
 Where the decisions are made:
 
-- whether a worker is answered: ``HeartbeatHandler._refusal``;
-- whether a start on record may be sent: ``CommandDispatcher._starts_that_may_be_sent`` for direct
-  commands, ``CommandPlanner.for_heartbeat`` for answers to heartbeats;
-- when a machine is unresponsive, and when it is lost: ``FailureDetector``; when the lease of its
-  worker has certainly expired: ``WorkerLeases.expires_at``;
-- what ends the tasks of a cancelled job: ``CommandPlanner``; and ``UnacknowledgedStarts`` for
-  starts that may still arrive, where the life of a start is documented.
+- whether a heartbeat is answered: ``HeartbeatHandler._refusal``;
+- whether a recorded start may be sent: ``CommandDispatcher._starts_that_may_be_sent`` for direct
+  commands, ``CommandPlanner.for_heartbeat`` for heartbeat responses;
+- when a machine is unresponsive, and when its tasks are lost: ``FailureDetector``;
+- when the lease of a worker has certainly expired: ``WorkerLeases.expires_at``;
+- how the tasks of a cancelled job are stopped: ``CommandPlanner`` for listed tasks,
+  ``UnacknowledgedStarts`` for starts that may still arrive. The module ``unacknowledged_starts``
+  documents the life cycle of a start.
 """
 
 from petrelthread.fleet.callbacks import FleetCallbacks
--- a/petrelthread/fleet/attempt_outcomes.py
+++ b/petrelthread/fleet/attempt_outcomes.py
@@ -1,6 +1,6 @@
-"""How attempts end: superseded, finished, or lost with their machine; and what they leave behind.
+"""How attempts end (superseded, finished, or lost with their machine), and their saved progress.
 
-The last step in the life of a start, which ``unacknowledged_starts`` documents as a whole.
+``unacknowledged_starts`` documents the whole life cycle of a start, of which this is the end.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class AttemptOutcomes:
-    """Ends attempts in the cluster state, once there is proof that they are over."""
+    """Ends attempts in the cluster state, once there is proof that they have ended."""
 
     def __init__(
         self,
@@ -28,18 +28,18 @@
         self._registry = registry
         self._unacknowledged_starts = unacknowledged_starts
         self._callbacks = callbacks
-        # Tasks that have finished but are not yet durably recorded as such: job to task indices.
-        # Sets, since tasks are looked up in arrays of tens of thousands.
+        # Tasks that have finished but are not yet durably recorded as such: task indices by job
+        # index. Sets keep lookups fast for jobs with tens of thousands of tasks.
         self.finished_tasks: dict[int, set[int]] = {}
 
     def mark_lost(self, machine: Machine, reason: str) -> int:
-        """Supersede all attempts on a machine that is certainly gone.
+        """Supersede all attempts on a machine whose tasks have certainly ended.
 
-        There are two proofs: the worker's lease has expired (``FailureDetector.check``), or the
-        cloud has confirmed the machine's return (the provisioner).
+        The evidence is either that the worker's lease has expired (``FailureDetector.check``), or
+        that the cloud has confirmed the machine's scale-in (the provisioner).
 
         Returns:
-            How many attempts there were.
+            The number of superseded attempts.
         """
         lost = list(self._registry.attempts_on(machine).values())
         for attempt in lost:
@@ -48,7 +48,7 @@
         return len(lost)
 
     def supersede(self, attempt: Attempt, reason: str) -> None:
-        """End an attempt that certainly does not run and never will: its task may start again."""
+        """End an attempt that certainly does not run and never will; its task may start again."""
         log.info(
             "operation superseded: start of %s/%d attempt %d: %s",
             attempt.job.id,
@@ -61,11 +61,11 @@
         self._callbacks.on_change()
 
     def credit_checkpoint(self, attempt: Attempt, stopped: bool) -> None:
-        """Add to the task what the attempt's checkpoints keep of its run time.
+        """Add the run time that the attempt's checkpoints preserve to its task.
 
         Args:
-            attempt: It counts once; calling this again has no effect.
-            stopped: It was stopped gracefully and saved its progress last.
+            attempt: Its run time is added once; further calls have no effect.
+            stopped: Whether it was stopped gracefully and saved its progress before it exited.
         """
         job, machine = attempt.job, self._registry.machines.get(attempt.machine)
         if job.checkpoint_interval_s <= 0 or not attempt.running_at or machine is None:
@@ -77,7 +77,7 @@
         attempt.running_at = 0.0
 
     def finish(self, job: Job, task: int) -> None:
-        """Note that a task has finished, for the scheduler to record it."""
+        """Mark a task as finished, for the scheduler to record durably."""
         if job.final_status is not None or job.task_states[task] == TASK_FINISHED:
             return
         tasks = self.finished_tasks.setdefault(job.index, set())
@@ -86,6 +86,6 @@
             self._callbacks.on_change()
 
     def startable_count(self, job: Job) -> int:
-        """How many tasks of the job may be started: pending ones that have not finished either."""
+        """Return how many tasks of the job may be started: pending ones not marked as finished."""
         finished = self.finished_tasks.get(job.index, ())
         return job.pending_count - sum(job.task_states[task] == TASK_PENDING for task in finished)
--- a/petrelthread/fleet/callbacks.py
+++ b/petrelthread/fleet/callbacks.py
@@ -1,4 +1,4 @@
-"""What the rest of the controller supplies to the fleet and wants to hear from it."""
+"""Callbacks by which the fleet queries and notifies the rest of the controller."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetCallbacks:
-    """The fleet's links to scheduler, provisioner and store; the defaults do nothing."""
+    """The fleet's callbacks to scheduler, provisioner and store; the defaults have no effect."""
 
     on_change: Callable[[], None] = _ignore
-    """Tasks, room or machines changed: a scheduling round may find something to do."""
+    """Tasks, capacity or machines changed, so that a scheduling round may have work."""
 
     on_replicas_lost: Callable[[], None] = _ignore
     """A machine that runs service replicas became unresponsive and must be replaced."""
 
     on_run_time: Callable[[Job, float], None] = _ignore_run_time
-    """A task of the job completed after so many seconds of work, checkpoints included."""
+    """A task of the job completed with this run time in seconds, checkpointed time included."""
 
     image_cache_gb: Callable[[int], float] = _unlimited_cache_gb
-    """The size of the image cache of a machine type (by index), in GB."""
+    """Returns the size of the image cache of a machine type, given by index, in GB."""
 
     state_current_as_of: Callable[[], float] = _never_read
-    """The start of the newest complete read of the state service, in event loop seconds."""
+    """Returns when the newest complete read of the state service began; event loop time."""
 
 
 NO_CALLBACKS = FleetCallbacks()
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -1,7 +1,7 @@
-"""Direct commands: the quick way to start and stop what a committed claim allows.
+"""Direct commands, which carry out a committed claim without waiting for heartbeats.
 
-What gets lost on this way goes out with the answer to the machine's next heartbeat, which
-``CommandPlanner`` prepares. For the life of a start see ``unacknowledged_starts``.
+Commands that are lost are sent again with the response to the machine's next heartbeat, which
+``CommandPlanner`` prepares. ``unacknowledged_starts`` documents the life cycle of a start.
 """
 
 from __future__ import annotations
@@ -25,20 +25,21 @@
 log = logging.getLogger(__name__)
 
 RESPONSE_TIMEOUT_S = 2.0
-# The worker has carried out the whole command, or nothing of it. Else its effect is unknown.
+# With these, the worker has executed all commands of the request, or none. Otherwise their effect
+# is unknown.
 KNOWN_OUTCOMES = (HTTPStatus.OK, HTTPStatus.CONFLICT)
 
 
 @dataclass(slots=True)
 class MachineChanges:
-    """What a claim starts and stops on one machine."""
+    """The attempts that a claim starts and stops on one machine."""
 
     starts: list[Attempt] = field(default_factory=list)
     stops: list[Attempt] = field(default_factory=list)
 
 
 class CommandDispatcher:
-    """Sends direct commands to workers, one at a time to each machine and claim."""
+    """Sends direct commands to workers, one request per claim and machine."""
 
     def __init__(
         self,
@@ -47,12 +48,12 @@
         command_slots: asyncio.Semaphore,
         may_start_tasks: Callable[[], bool],
     ) -> None:
-        """Send nothing yet.
+        """Create the dispatcher.
 
         Args:
             fleet: The machines.
             request: Sends one HTTP request.
-            command_slots: Limits the requests to workers that are under way.
+            command_slots: Limits the requests to workers that are in flight.
             may_start_tasks: Whether this controller's view of cancellations is recent enough.
         """
         self._fleet = fleet
@@ -64,7 +65,7 @@
     def send(self, starts: list[Attempt], stops: list[Attempt]) -> None:
         """Send the starts and stops of a committed claim to their machines."""
         if self._fleet.epoch == NO_EPOCH:
-            return  # the leadership was lost while the claim was under way
+            return  # leadership was lost while the claim was in flight
         by_machine: defaultdict[int, MachineChanges] = defaultdict(MachineChanges)
         for attempt in starts:
             by_machine[attempt.machine].starts.append(attempt)
@@ -74,8 +75,9 @@
             machine = self._fleet.machines.get(index)
             if machine is None or not machine.address:
                 continue
-            # A machine that has not responded gets its commands with its next heartbeat, so that
-            # unreachable machines do not occupy the slots while others wait.
+            # A machine whose last command got no response, and that has not reported since, gets
+            # its commands with the response to its next heartbeat. Unreachable machines would
+            # otherwise occupy the slots while others wait.
             if machine.last_message_at >= machine.last_unanswered_at:
                 self._sending.start(self._send(machine, changes, self._fleet.epoch))
 
@@ -88,7 +90,7 @@
                 return
             self._reconcile(machine, response)
             if response.status == HTTPStatus.CONFLICT and fleet.fencing_token > token:
-                # The token was raised while the command was under way: nothing was carried out.
+                # The token was raised while the request was in flight: no command was executed.
                 response = await self._send_once(machine, changes, epoch)
                 if response is not None and fleet.epoch == epoch:
                     self._reconcile(machine, response)
@@ -96,10 +98,10 @@
     async def _send_once(
         self, machine: Machine, changes: MachineChanges, epoch: int
     ) -> ClientResponse | None:
-        """Send one direct command with those starts and stops that may still be sent.
+        """Send one request with the stops and with those starts that may still be sent.
 
         Returns:
-            The response; None if nothing was to be sent or the outcome is unknown.
+            The response; None if there was nothing to send or the outcome is unknown.
         """
         fleet = self._fleet
         if fleet.epoch != epoch:
@@ -120,12 +122,12 @@
         except NoResponseError as error:
             log.debug("machine %s: no response to commands: %s", machine.name, error)
             machine.last_unanswered_at = clock()
-            self._give_up(starting, error.request_sent)
+            self._mark_unanswered(starting, error.request_sent)
             return None
         finally:
             machine.commands_in_flight = max(0, machine.commands_in_flight - 1)
         if response.status not in KNOWN_OUTCOMES:
-            self._give_up(starting, request_sent=True)
+            self._mark_unanswered(starting, request_sent=True)
             return None
         for attempt in starting:
             fleet.unacknowledged_starts.on_acknowledged(attempt)
@@ -134,9 +136,9 @@
     def _starts_that_may_be_sent(self, machine: Machine, starts: list[Attempt]) -> list[Attempt]:
         """Decide which of a machine's direct starts may be sent now.
 
-        While they waited for their turn, a start may have gone out with the answer to a heartbeat,
-        its job may have been cancelled, its worker may have restarted, or this controller may have
-        lost the right to start tasks. ``CommandPlanner`` decides for answers to heartbeats.
+        While a start waited for a slot, it may have been sent with a heartbeat response, its job
+        may have been cancelled, its worker may have restarted, or this controller may have lost the
+        right to start tasks. ``CommandPlanner`` decides for heartbeat responses.
         """
         if not self._may_start_tasks():
             return []
@@ -150,8 +152,8 @@
             and not attempt.job.final_status
         ]
 
-    def _give_up(self, starts: list[Attempt], request_sent: bool) -> None:
-        """No response came; if the request was sent, it may arrive at any time."""
+    def _mark_unanswered(self, starts: list[Attempt], request_sent: bool) -> None:
+        """Record that no response came; if the request was sent, it may still arrive."""
         for attempt in starts:
             if not request_sent:
                 self._fleet.unacknowledged_starts.on_acknowledged(attempt)
@@ -161,17 +163,17 @@
                 transition(attempt, OperationState.UNKNOWN)
 
     def _reconcile(self, machine: Machine, response: ClientResponse) -> None:
-        """The response to a command is the worker's heartbeat."""
+        """Reconcile the worker's heartbeat, which is the body of a command response."""
         try:
             heartbeat = protocol.parse_heartbeat(response.body)
         except protocol.BadRequestError as error:
-            log.info("machine %s: malformed response: %s", machine.name, error)
+            log.info("machine %s: malformed response to commands: %s", machine.name, error)
             return
         self._fleet.on_heartbeat(heartbeat, asyncio.get_running_loop().time(), answered=False)
 
 
 def _commands(starts: list[Attempt], stops: list[Attempt]) -> list[protocol.Command]:
-    """Stops first, which make room for the starts."""
+    """Return the commands, stops first, because they free capacity for the starts."""
     commands: list[protocol.Command] = [
         protocol.StopCommand(protocol.task_id(a.job.id, a.task), a.number, a.job.grace_period_s)
         for a in stops
--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -1,9 +1,9 @@
-"""The commands that a worker gets with the answer to its heartbeat.
+"""The commands that a worker gets with the response to its heartbeat.
 
-This is also what ends the tasks of a cancelled job: the answer to a heartbeat that still lists one
-of them has a stop command, by a leader in ``for_heartbeat``, and by a controller that fails over or
-is in its lease grace period in ``stops_for_finished_jobs``. Starts of such a job that a worker does
-not list yet are the concern of ``unacknowledged_starts``.
+They also stop the tasks of a cancelled job: the response to a heartbeat that still lists such a
+task contains a stop command. A leader adds it in ``for_heartbeat``; a controller that is failing
+over or in its lease grace period adds it in ``stops_for_finished_jobs``. Starts of such a job that
+a worker does not list yet are handled by ``unacknowledged_starts``.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class ListedTasks(NamedTuple):
-    """The result of comparing the tasks that a worker lists with the attempts on record."""
+    """The result of comparing the tasks that a worker lists with the recorded attempts."""
 
     commands: list[protocol.Command]
-    recorded: set[TaskKey]  # tasks that have an attempt on record
+    recorded: set[TaskKey]  # listed tasks whose attempt is recorded for the machine
 
 
 class CommandPlanner:
@@ -33,9 +33,9 @@
     def stops_for_finished_jobs(
         self, heartbeat: protocol.WorkerHeartbeat
     ) -> list[protocol.Command]:
-        """Stop listed tasks of jobs that are cancelled or over.
+        """Return stop commands for listed tasks of jobs with a final status.
 
-        These commands need no authority, because a final status is durable and never changes.
+        They need no leadership, because a final status is durable and never changes.
         """
         commands: list[protocol.Command] = []
         for task_report in heartbeat.tasks:
@@ -58,12 +58,12 @@
     ) -> list[protocol.Command]:
         """Return the leader's commands for the heartbeat that has just been reconciled.
 
-        They have starts only if ``may_start``, and if no direct command to the machine is in
+        They include starts only if ``may_start``, and if no direct command to the machine is in
         flight.
 
         Args:
-            machine: The sender.
-            heartbeat: The newest one of the machine.
+            machine: The machine that sent the heartbeat.
+            heartbeat: The machine's newest heartbeat.
             now: Event loop time.
             may_start: Whether this leader's view of cancellations is recent enough for starts.
         """
@@ -75,7 +75,7 @@
     def _for_listed_tasks(
         self, machine: Machine, heartbeat: protocol.WorkerHeartbeat
     ) -> ListedTasks:
-        """Stop or forget listed tasks that are not wanted, or not any more."""
+        """Return stop commands for unwanted listed tasks, and forget commands for exited ones."""
         commands: list[protocol.Command] = []
         recorded: set[TaskKey] = set()
         attempts = self._fleet.attempts_on(machine)
@@ -83,7 +83,7 @@
             job_id, task = task_report.job_and_index
             job = self._fleet.cluster_state.jobs_by_id.get(job_id)
             if job is None:
-                continue  # the state read so far does not justify any command
+                continue  # the job may not have been read yet, so no command is safe
             attempt = attempts.get((job.index, task))
             if attempt is not None and attempt.number != task_report.attempt:
                 attempt = None
@@ -113,14 +113,14 @@
             machine: The worker's machine.
             job: The task's job.
             task: The task's index.
-            task_report: The exited task as listed.
-            attempt: The same attempt on record; None if it is not on record for this machine.
+            task_report: The exited task as the worker lists it.
+            attempt: The recorded attempt; None if it is not recorded for this machine.
         """
         start = StartKey(job.index, task, task_report.attempt)
         if self._fleet.unacknowledged_starts.contains(machine.index, start):
-            return False  # once forgotten, the attempt would be started again by a late command
+            return False  # a delayed command would start a forgotten attempt again
         if task_report.exit_cause == protocol.ExitCause.DONE and not job.is_service:
-            # Only once it is durably recorded.
+            # A finished task stays listed until the result is durably recorded.
             return job.final_status is not None or job.task_states[task] == TASK_FINISHED
         return attempt is None
 
@@ -131,7 +131,7 @@
         recorded: set[TaskKey],
         now: float,
     ) -> list[protocol.Command]:
-        """Start what the worker does not list yet, and supersede unlisted starts not wanted."""
+        """Return starts of attempts not listed yet, and supersede those no longer wanted."""
         commands: list[protocol.Command] = []
         ignored = False
         for key, attempt in list(self._fleet.attempts_on(machine).items()):
@@ -155,7 +155,7 @@
         return commands
 
     def _may_be_started(self, attempt: Attempt, incarnation: int) -> bool:
-        """Whether it is a start of this epoch, meant for this incarnation of the worker."""
+        """Whether the attempt is of this epoch and the given incarnation and has not exited."""
         return (
             attempt.incarnation == incarnation
             and not attempt.has_exited
--- a/petrelthread/fleet/conftest.py
+++ b/petrelthread/fleet/conftest.py
@@ -10,17 +10,17 @@
 
 @pytest.fixture
 def fleet() -> Fleet:
-    """The fleet of a leader that has just been elected, without machines."""
+    """Return the fleet of a newly elected leader, without machines."""
     return build_fleet()
 
 
 @pytest.fixture
 def failure_detector(fleet: Fleet) -> FailureDetector:
-    """Judges the fleet."""
+    """Return a failure detector of the fleet."""
     return FailureDetector(fleet)
 
 
 @pytest.fixture
 def command_planner(fleet: Fleet) -> CommandPlanner:
-    """Plans commands for the fleet."""
+    """Return a command planner of the fleet."""
     return CommandPlanner(fleet)
--- a/petrelthread/fleet/failure_attribution.py
+++ b/petrelthread/fleet/failure_attribution.py
@@ -1,8 +1,9 @@
-"""Attribution of failed tasks: to the machine, or to the job.
+"""Attribution of task failures to the machine or to the job.
 
-A machine is at fault if jobs fail on it that complete elsewhere. A job is at fault if it fails on
-several machines and has never completed a task. Both are judged together, so that broken jobs make
-no healthy machine look faulty, and faulty machines make no healthy job look broken.
+A machine is faulty if jobs fail on it that complete elsewhere. A job is suspect if it fails on
+several machines and has never completed a task. Both are evaluated together, so that a broken job
+does not make healthy machines look faulty, and a faulty machine does not make healthy jobs look
+broken.
 """
 
 from __future__ import annotations
@@ -10,18 +11,19 @@
 from collections import defaultdict
 from enum import Enum
 
-# Machines, not faulty themselves, on which an unproven job has to fail to become suspect.
+# Number of machines, not counting faulty ones, on which an unproven job has to fail to be suspect.
 SUSPECT_AFTER_MACHINES = 3
-# A proven job that fails on more machines than this has some bad tasks itself.
-MAX_MACHINES_OF_GOOD_JOB = 3
-# Failures of one proven job, with no completion on the machine in between, that prove a fault.
+# A proven job that fails on more machines than this probably has some faulty tasks itself.
+MAX_MACHINES_OF_HEALTHY_JOB = 3
+# Failures of one proven job, with no completion on the machine in between, that show a machine
+# fault.
 MAX_CONSECUTIVE_FAILURES = 4
-# Failures of one proven job that prove a fault if the job fails on few machines.
+# Failures of one proven job that show a machine fault if the job fails on few machines.
 MIN_REPEATED_FAILURES = 2
 
 
 class JobHealth(Enum):
-    """What the outcomes of its tasks say about a job."""
+    """Classification of a job by the outcomes of its tasks."""
 
     NEW = "new"
     PROVEN = "has completed a task"
@@ -36,10 +38,12 @@
 
 
 class FailureAttribution:
-    """What failed where, as seen by this leader, and the conclusions. Jobs, machines by index.
+    """Failures and completions seen by this leader, with the suspect jobs and faulty machines.
+
+    Jobs and machines are given by index.
 
     Attributes:
-        faulty: Machines found faulty, with the reason. A verdict stays.
+        faulty: The faulty machines with the reason. A machine stays in it until ``clear``.
     """
 
     def __init__(self) -> None:
@@ -52,14 +56,14 @@
         self.faulty: dict[int, str] = {}
 
     def clear(self) -> None:
-        """Forget everything, as a new leader does."""
+        """Discard all failures and conclusions, on election."""
         self._job_health.clear()
         self._machines_failed_on.clear()
         self._failures_on.clear()
         self.faulty.clear()
 
     def job_health(self, job: int) -> JobHealth:
-        """Return the present judgement of the job."""
+        """Return the present classification of the job."""
         return self._job_health.get(job, JobHealth.NEW)
 
     def failed_on(self, job: int) -> set[int]:
@@ -67,13 +71,13 @@
         return self._machines_failed_on.get(job, set())
 
     def unproven(self) -> list[int]:
-        """Return jobs that have failed somewhere and never completed a task."""
+        """Return the jobs that have failed on some machine and never completed a task."""
         return [
             job for job in self._machines_failed_on if self.job_health(job) is not JobHealth.PROVEN
         ]
 
     def _transition(self, job: int, target: JobHealth) -> None:
-        """Change the health of a job; the only place that does."""
+        """Change the health of a job. All changes of it go through this method."""
         before = self.job_health(job)
         if target is not before:
             assert target in TRANSITIONS[before], f"job {job}: {before} to {target}"
@@ -82,31 +86,31 @@
     # ---- events ----------------------------------------------------------------------------------
 
     def on_failed(self, job: int, machine: int) -> list[int]:
-        """A task of the job failed on the machine. Returns machines found faulty by that."""
+        """Record a failed task of the job. Returns the machines found faulty as a result."""
         self._machines_failed_on.setdefault(job, set()).add(machine)
         self._failures_on[machine][job] += 1
-        found = self._judge_machines([machine])
-        self._judge_job(job)
+        found = self._find_faulty([machine])
+        self._update_job_health(job)
         return found
 
     def on_completed(self, job: int, machine: int) -> list[int]:
-        """A task of the job completed on the machine. Returns machines found faulty by that."""
+        """Record a completed task of the job. Returns the machines found faulty as a result."""
         self._failures_on.pop(machine, None)
         return self.on_proven(job)
 
     def on_proven(self, job: int) -> list[int]:
-        """The job can complete tasks, so where it failed the machine may be at fault.
+        """Record that the job can complete tasks, so that its failures count against machines.
 
         Returns:
-            Machines found faulty by that.
+            The machines found faulty as a result.
         """
         if self.job_health(job) is JobHealth.PROVEN:
             return []
         self._transition(job, JobHealth.PROVEN)
-        return self._judge_machines(sorted(self.failed_on(job)))
+        return self._find_faulty(sorted(self.failed_on(job)))
 
     def on_finished(self, job: int) -> None:
-        """The job has its final status. What it proved about machines stays."""
+        """Drop an unproven job that has its final status. Failures of proven jobs are kept."""
         if self.job_health(job) is not JobHealth.PROVEN:
             self._job_health.pop(job, None)
             self._machines_failed_on.pop(job, None)
@@ -114,14 +118,14 @@
                 failures.pop(job, None)
 
     def restore(self, job: int, machines: list[int]) -> None:
-        """A former leader recorded that the job fails on all machines, among them these."""
+        """Restore a job that a former leader recorded as suspect, with machines it failed on."""
         self._machines_failed_on[job] = set(machines)
-        self._judge_job(job)
+        self._update_job_health(job)
 
-    # ---- judgement -------------------------------------------------------------------------------
+    # ---- evaluation ------------------------------------------------------------------------------
 
-    def _judge_machines(self, machines: list[int]) -> list[int]:
-        """Find out which of the machines are faulty. Returns those not known as faulty before."""
+    def _find_faulty(self, machines: list[int]) -> list[int]:
+        """Evaluate the machines. Returns those that are newly found faulty."""
         found = []
         for machine in machines:
             if machine in self.faulty:
@@ -131,14 +135,14 @@
                 self.faulty[machine] = reason
                 found.append(machine)
         if found:
-            # Jobs that failed on these machines alone are no longer suspect.
+            # Jobs that failed only on faulty machines are no longer suspect.
             for job, health in list(self._job_health.items()):
                 if health is JobHealth.SUSPECT:
-                    self._judge_job(job)
+                    self._update_job_health(job)
         return found
 
     def _fault_reason(self, machine: int) -> str:
-        """Why the machine is faulty; empty if it is not."""
+        """Return why the machine is faulty; empty if it is not."""
         proven = {
             job: count
             for job, count in self._failures_on.get(machine, {}).items()
@@ -149,16 +153,16 @@
             return "different jobs that complete elsewhere fail on it"
         if total >= MAX_CONSECUTIVE_FAILURES:
             return "everything fails on it that completes elsewhere"
-        few = all(self._healthy_machine_count(job) <= MAX_MACHINES_OF_GOOD_JOB for job in proven)
+        few = all(self._healthy_machine_count(job) <= MAX_MACHINES_OF_HEALTHY_JOB for job in proven)
         if total >= MIN_REPEATED_FAILURES and few:
             return "a job that completes elsewhere fails on it"
         return ""
 
     def _healthy_machine_count(self, job: int) -> int:
-        """On how many machines the job failed that are not faulty."""
+        """Return on how many machines that are not faulty the job has failed."""
         return len(self.failed_on(job) - self.faulty.keys())
 
-    def _judge_job(self, job: int) -> None:
+    def _update_job_health(self, job: int) -> None:
         if self.job_health(job) is not JobHealth.PROVEN:
             suspect = self._healthy_machine_count(job) >= SUSPECT_AFTER_MACHINES
             self._transition(job, JobHealth.SUSPECT if suspect else JobHealth.NEW)
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -33,7 +33,7 @@
 
 
 class FailureDetector:
-    """Detects failures from the times recorded in the fleet; alone sets UNRESPONSIVE."""
+    """Detects failures by the times recorded in the fleet; the only class to set UNRESPONSIVE."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -77,7 +77,7 @@
         if now - max(machine.last_seen_at, self._fleet.resumed_at) <= timeout_s:
             return False
         log.info(
-            "machine %s is unresponsive: no heartbeat for %.1f s (timeout %.1f s); %s in epoch %d",
+            "machine %s is unresponsive: no heartbeat for %.1f s (limit %.1f s); %s in epoch %d",
             machine.name,
             now - machine.last_seen_at,
             timeout_s,
--- a/petrelthread/fleet/fleet.py
+++ b/petrelthread/fleet/fleet.py
@@ -18,18 +18,19 @@
 
 
 class Fleet(MachineRegistry):
-    """The registry of machines, with all that follows from what their workers report.
+    """The registry of machines, with the reconciliation of what their workers report.
 
-    Nothing here is durable: a new leader reads it from the workers again.
+    This state is not durable: a new leader builds it again from the workers' heartbeats.
 
     Attributes:
         lease_s: The duration of a worker's lease.
-        heartbeat_interval_s: How often workers report.
-        fencing_token: Carried by commands and answers; the epoch, or raised since.
-        resumed_at: Since when this process has run without a pause; event loop time.
-        finished_tasks: Finished but not yet durably recorded: job index to task indices.
-        unacknowledged_starts: Starts that were sent and may still be carried out.
-        job_failures: Jobs and machines that fail.
+        heartbeat_interval_s: The interval at which workers send heartbeats.
+        fencing_token: Sent with commands and heartbeat responses; at least the epoch, as it may
+            have been raised since the election.
+        resumed_at: When this process last resumed after a pause; event loop time.
+        finished_tasks: Finished but not yet durably recorded: task indices by job index.
+        unacknowledged_starts: Starts that were sent and may still take effect.
+        job_failures: Failing jobs and faulty machines.
     """
 
     def __init__(
@@ -43,11 +44,11 @@
         """Start without machines.
 
         Args:
-            cluster_state: What is durable.
+            cluster_state: The durable state of the cluster.
             lease_s: The duration of a worker's lease.
-            heartbeat_interval_s: How often workers report.
-            lease_grace_s: How long a former leader may answer workers after losing the lead.
-            callbacks: Links to the rest of the controller.
+            heartbeat_interval_s: The interval at which workers send heartbeats.
+            lease_grace_s: How long a former leader may answer heartbeats after it lost leadership.
+            callbacks: Calls to the rest of the controller.
         """
         super().__init__(cluster_state)
         self.lease_s = lease_s
@@ -78,13 +79,13 @@
         )
 
     def step_down(self) -> None:
-        """This controller leads no more; late responses for its epoch must have no effect."""
+        """End this controller's leadership: delayed responses for its epoch have no effect."""
         self.epoch = NO_EPOCH
 
     def fail_over(self, epoch: int, now: float, recorded_machines: Collection[str] = ()) -> None:
-        """This controller leads from now on; see ``MachineRegistry.begin_epoch``."""
+        """Begin this controller's leadership; see ``MachineRegistry.begin_epoch``."""
         self.fencing_token = epoch
-        self.finished_tasks.clear()  # workers report what is not durable again
+        self.finished_tasks.clear()  # workers report again what is not durable yet
         self.job_failures.fail_over(now)
         self.begin_epoch(epoch, now, recorded_machines)
 
@@ -95,18 +96,18 @@
         return self._heartbeat_reconciler.on_heartbeat(heartbeat, now, answered)
 
     def lease_expires_at(self, machine: Machine) -> float:
-        """When the worker's lease has certainly expired; see ``WorkerLeases.expires_at``."""
+        """Return when the worker's lease has certainly expired; see ``WorkerLeases.expires_at``."""
         return self._leases.expires_at(machine)
 
     def on_start_sent(self, attempt: Attempt, machine: Machine, now: float) -> None:
-        """A direct command with the present token, sent now, may start the attempt."""
+        """Track a direct start command that is sent now with the present fencing token."""
         renewed_at = self._leases.may_be_renewed_until(machine, now)
         self.unacknowledged_starts.on_sent(
             attempt, machine.name, self.fencing_token, now, renewed_at
         )
 
     def mark_lost(self, machine: Machine, reason: str) -> int:
-        """Supersede all on a machine that is certainly gone; see ``AttemptOutcomes.mark_lost``."""
+        """Supersede all attempts on a lost machine; see ``AttemptOutcomes.mark_lost``."""
         return self._outcomes.mark_lost(machine, reason)
 
     def supersede(self, attempt: Attempt, reason: str) -> None:
@@ -114,5 +115,5 @@
         self._outcomes.supersede(attempt, reason)
 
     def startable_count(self, job: Job) -> int:
-        """How many tasks of the job may be started."""
+        """Return how many tasks of the job may be started."""
         return self._outcomes.startable_count(job)
--- a/petrelthread/fleet/job_failures.py
+++ b/petrelthread/fleet/job_failures.py
@@ -1,4 +1,4 @@
-"""What follows from failures: back-off of failing jobs, and quarantine of faulty machines."""
+"""Consequences of task failures: backoff of failing jobs, quarantine of faulty machines."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 log = logging.getLogger(__name__)
 
 MAX_RECORDED_MACHINES = 8  # in the stored record of a suspect job
-INITIAL_BACKOFF_S = 5.0  # until a failing job is tried again, doubled each time
+INITIAL_BACKOFF_S = 5.0  # before a failing job is retried; doubled with each further failure
 MAX_BACKOFF_S = 60.0
 
 
 class JobFailures:
-    """Applies the judgement of ``FailureAttribution`` to jobs and machines."""
+    """Applies the conclusions of ``FailureAttribution`` to jobs and machines."""
 
     def __init__(self, cluster_state: ClusterState, machines: dict[int, Machine]) -> None:
-        """Know of no failure yet.
+        """Start without recorded failures.
 
         Args:
             cluster_state: The jobs, and the records of suspect ones.
-            machines: All that the leader knows, by index; shared with the registry.
+            machines: All machines that the leader knows, by index; shared with the registry.
         """
         self._cluster_state = cluster_state
         self._machines = machines
         self._attribution = FailureAttribution()
 
     def fail_over(self, now: float) -> None:
-        """Begin with what former leaders recorded, so that suspect jobs remain suspect."""
+        """Begin with the records of former leaders, so that suspect jobs remain suspect."""
         self._attribution.clear()
         names = self._cluster_state.names.machines
         recorded = self._cluster_state.machines_by_failing_job
@@ -47,7 +47,7 @@
                 job.suspect_since = now
 
     def is_suspect(self, job: Job) -> bool:
-        """Whether the job fails on all machines, so that only one task at a time is tried."""
+        """Whether the job fails everywhere, so that only one task at a time is tried."""
         return self._attribution.job_health(job.index) is JobHealth.SUSPECT
 
     def failed_on(self, job: Job) -> set[int]:
@@ -68,7 +68,7 @@
         }
 
     def cleared_suspects(self) -> list[str]:
-        """Return the ids of jobs that have a record and are not suspect any more."""
+        """Return the ids of jobs that have a record but have ended or are no longer suspect."""
         cleared = []
         for job_id in self._cluster_state.machines_by_failing_job:
             job = self._cluster_state.jobs_by_id.get(job_id)
@@ -77,7 +77,7 @@
         return cleared
 
     def drop_finished(self) -> None:
-        """Forget the failures of unproven jobs that have their final status."""
+        """Drop the failures of unproven jobs that have their final status."""
         for job in self._attribution.unproven():
             if self._cluster_state.jobs[job].final_status is not None:
                 self._attribution.on_finished(job)
@@ -85,7 +85,7 @@
     # ---- events ----------------------------------------------------------------------------------
 
     def on_completed(self, machine: Machine, job: Job, task: int) -> None:
-        """A task has completed, or a replica has run for long enough to prove its job."""
+        """Record a completed task, or a replica that ran long enough to show its job works."""
         was_suspect = self.is_suspect(job)
         self._quarantine(self._attribution.on_completed(job.index, machine.index))
         job.failing_tasks.discard(task)
@@ -95,7 +95,7 @@
             log.info("job %s is no longer suspect: it completes tasks", job.id)
 
     def on_failed(self, machine: Machine, job: Job, task: int, now: float) -> None:
-        """A task has exited with an error."""
+        """Record a task that has exited with an error, and back off its job if necessary."""
         log.info("task %d of %s failed on %s", task, job.id, machine.name)
         job.failing_tasks.add(task)
         was_suspect = self.is_suspect(job)
@@ -110,13 +110,13 @@
                 len(self.failed_on(job)),
             )
         if now < job.retry_at:
-            return  # tasks that fail together count once
+            return  # tasks that fail at the same time extend the backoff only once
         if is_suspect or self._all_pending_have_failed(job):
             job.backoff_s = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, job.backoff_s * 2))
             job.retry_at = now + job.backoff_s
 
     def _all_pending_have_failed(self, job: Job) -> bool:
-        """Whether the job has nothing to start but tasks that have failed, on several machines."""
+        """Whether the job failed on several machines and only failed tasks are left to start."""
         if job.is_service and self._attribution.job_health(job.index) is JobHealth.PROVEN:
             return False
         return len(self.failed_on(job)) >= SUSPECT_AFTER_MACHINES and all(
--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -103,7 +103,7 @@
 
     # Lease of the worker
     lease_renewed_at: float = 0.0  # when a heartbeat response may last have renewed it
-    renewed_without_gap_since: float = field(init=False)  # since then none was late
+    renewed_without_gap_since: float = field(init=False)  # since when no renewal was late
     lease_losses: int = 0  # consecutive expiries although heartbeats were answered
     lease_lost_at: float = 0.0  # time of the newest such expiry
 
--- a/petrelthread/fleet/machine_registry.py
+++ b/petrelthread/fleet/machine_registry.py
@@ -1,4 +1,4 @@
-"""The machines that the leader knows, and which of them may be given work."""
+"""The machines that the leader knows, and which of them work may be placed on."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     def __init__(self, cluster_state: ClusterState) -> None:
         self.cluster_state = cluster_state
         self.machines: dict[int, Machine] = {}
-        self.machines_with_notice: dict[int, Machine] = {}  # spot machines about to be reclaimed
-        self.epoch = 0  # in which this controller was elected, or NO_EPOCH
+        self.machines_with_notice: dict[int, Machine] = {}  # with a spot termination notice
+        self.epoch = 0  # the epoch of this controller's leadership, or NO_EPOCH
         self.elected_at = 0.0  # event loop time
 
     def get_or_add(self, name: str, now: float) -> Machine:
-        """Return the machine of that name, which is added if it is not known yet."""
+        """Return the machine of that name; add it if it is not known yet."""
         index = self.cluster_state.names.machines.index(name)
         found = self.machines.get(index)
         if found is None:
@@ -40,16 +40,16 @@
         return self.cluster_state.attempts_by_machine.get(machine.index, {})
 
     def hosts_replicas(self, machine: Machine) -> bool:
-        """Whether replicas of services run on it, whose loss has to be noticed quickly."""
+        """Whether the machine hosts service replicas, whose loss must be detected quickly."""
         return any(
             a.job.is_service and not a.has_exited for a in self.attempts_on(machine).values()
         )
 
     def is_schedulable(self, machine: Machine) -> bool:
-        """Whether the machine may be given work.
+        """Whether work may be placed on the machine.
 
-        Its worker must refuse commands of former leaders: it has acknowledged this epoch, or the
-        machine was rented in it.
+        Its worker must reject commands of former leaders, so it must have acknowledged this epoch,
+        or the machine must have been rented in it.
         """
         fenced = machine.acknowledged_epoch == self.epoch or self.is_rented_in_this_epoch(machine)
         return machine.accepts_work and fenced
@@ -59,14 +59,14 @@
         return machine.scale_out_key.startswith(KeyKind.SCALE_OUT.key(f"{self.epoch}-"))
 
     def begin_epoch(self, epoch: int, now: float, recorded_machines: Collection[str]) -> None:
-        """Treat all that was known before as unproven until workers report again.
+        """Begin an epoch: drop or reset the machines known before, until their workers report.
 
         Args:
-            epoch: The one in which this controller has been elected.
+            epoch: The epoch in which this controller has been elected.
             now: Event loop time.
-            recorded_machines: Names in records of scale-out and scale-in. Other machines without
-                attempts are dropped, since a former leader may have returned them long ago; if they
-                exist, they report or are listed by the cloud.
+            recorded_machines: Names of machines in records of scale-out and scale-in. Other
+                machines without attempts are dropped, since a former leader may have returned them
+                long ago; those that exist are added again when they report or the cloud lists them.
         """
         self.epoch = epoch
         self.elected_at = now
@@ -76,20 +76,20 @@
         for machine in list(self.machines.values()):
             known = machine.name in recorded_machines or machine.index in attempts_by_machine
             if known and machine.health is not Health.TERMINATED:
-                self._doubt(machine, now)
+                self._reset_observations(machine, now)
             else:
                 del self.machines[machine.index]
                 self.machines_with_notice.pop(machine.index, None)
 
-    def _doubt(self, machine: Machine, now: float) -> None:
-        """Forget what only the former leader could tell of the machine and its attempts."""
+    def _reset_observations(self, machine: Machine, now: float) -> None:
+        """Reset what only the former leader could know about the machine and its attempts."""
         machine.last_seen_at = machine.registered_at = now
         machine.idle_since = now
         machine.failed_reads = 0
         machine.commands_in_flight = 0
         has_attempts = machine.index in self.cluster_state.attempts_by_machine
         if machine.health is Health.BOOTING and has_attempts:
-            machine.transition(Health.UP)  # it ran work, so a lack of heartbeats means something
+            machine.transition(Health.UP)  # it has run work, so missing heartbeats are evidence
         for attempt in self.attempts_on(machine).values():
             if attempt.state in (OperationState.CONFIRMED, OperationState.DISPATCHING):
                 transition(attempt, OperationState.UNKNOWN)
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -1,4 +1,4 @@
-"""Direct commands, in virtual time."""
+"""Direct commands, tested in virtual time."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class TwoMachines:
-    """A reachable machine and an unreachable one, with a single slot for commands."""
+    """A reachable machine and an unreachable one, with a single command slot."""
 
     def __init__(self) -> None:
         self.fleet = build_fleet(elected_at=asyncio.get_running_loop().time(), task_count=9)
-        self.asked: list[str] = []
+        self.requested: list[str] = []
         self.dispatcher = CommandDispatcher(
             self.fleet, self.request, asyncio.Semaphore(1), lambda: True
         )
@@ -36,7 +36,7 @@
         return machine
 
     def start(self, machine: Machine) -> Attempt:
-        """Start the next task on the machine."""
+        """Record an attempt of the next task on the machine, and send its start."""
         self.task += 1
         _, attempt = add_attempt(
             self.fleet,
@@ -49,7 +49,7 @@
         return attempt
 
     def commanded_tasks(self, machine: Machine) -> list[str]:
-        """The machine reports: the tasks that the answer's commands are about."""
+        """Reconcile a heartbeat of the machine. Returns the tasks of its response's commands."""
         report = heartbeat(1, host=machine.name)
         report.address = machine.name
         now = asyncio.get_running_loop().time()
@@ -60,7 +60,7 @@
     async def request(
         self, addr: str, method: str, target: str, body: Any, timeout: float
     ) -> ClientResponse:
-        self.asked.append(addr)
+        self.requested.append(addr)
         if addr == UNREACHABLE:
             await asyncio.sleep(timeout)
             raise NoResponseError("timeout", True)
@@ -68,12 +68,12 @@
 
 
 class SlowMachines(TwoMachines):
-    """Machines respond after a second, with a heartbeat that lists no tasks."""
+    """Machines that respond after a second, with a heartbeat that lists no tasks."""
 
     async def request(
         self, addr: str, method: str, target: str, body: Any, timeout: float
     ) -> ClientResponse:
-        self.asked.append(addr)
+        self.requested.append(addr)
         await asyncio.sleep(1.0)
         return ClientResponse(
             200, orjson.dumps({"perch": addr, "flight": 1, "tick": 9, "baton": EPOCH})
@@ -88,19 +88,20 @@
         unsent = [machines.start(machines.unreachable) for _ in range(3)]
         machines.start(machines.reachable)
         await asyncio.sleep(0.1)
-        assert machines.asked == [UNREACHABLE, REACHABLE]
-        # Those starts are not lost: they go out with the answer to its next heartbeat.
-        commanded = set(machines.commanded_tasks(machines.unreachable))
-        assert commanded >= {f"{JOB_ID}/{attempt.task}" for attempt in unsent}
-        machines.start(machines.unreachable)  # it has reported since: worth another try
+        assert machines.requested == [UNREACHABLE, REACHABLE]
+        # The unsent starts go out with the response to the machine's next heartbeat.
+        commanded_task_ids = set(machines.commanded_tasks(machines.unreachable))
+        assert commanded_task_ids >= {f"{JOB_ID}/{attempt.task}" for attempt in unsent}
+        # The machine has sent a heartbeat since, so direct commands are sent again.
+        machines.start(machines.unreachable)
         await asyncio.sleep(0.1)
-        assert machines.asked[-1] == UNREACHABLE
+        assert machines.requested[-1] == UNREACHABLE
 
     play(main())
 
 
-def test_start_that_went_out_with_an_answer_while_waiting_is_not_sent_again() -> None:
-    """After a forget command the second copy would start the attempt anew."""
+def test_waiting_start_already_sent_with_heartbeat_response_is_not_sent_again() -> None:
+    """After a forget command, the second copy would start the attempt again."""
 
     async def main() -> None:
         machines = TwoMachines()
@@ -109,14 +110,14 @@
         attempt = machines.start(machines.reachable)  # waits for the slot
         assert machines.commanded_tasks(machines.reachable) == [f"{JOB_ID}/{attempt.task}"]
         await asyncio.sleep(5.0)
-        assert machines.asked == [UNREACHABLE]
+        assert machines.requested == [UNREACHABLE]
 
     play(main())
 
 
 @pytest.mark.parametrize("deposed", [False, True], ids=["leader", "deposed"])
 def test_response_after_loss_of_leadership_has_no_effect(deposed: bool) -> None:
-    """Meanwhile another leader may have started what the response does not list."""
+    """Another leader may meanwhile have started what the response does not list."""
 
     async def main() -> None:
         machines = SlowMachines()
@@ -126,7 +127,7 @@
         if deposed:
             machines.fleet.step_down()
         await asyncio.sleep(2.0)
-        assert machines.asked == [REACHABLE]
+        assert machines.requested == [REACHABLE]
         assert machines.reachable.sequence_number == (-1 if deposed else 9)
         assert attempt.state is (OperationState.CONFIRMED if deposed else OperationState.SUPERSEDED)
 
--- a/petrelthread/fleet/test_command_planner.py
+++ b/petrelthread/fleet/test_command_planner.py
@@ -1,4 +1,4 @@
-"""What a worker is told with the answer to its heartbeat."""
+"""Commands in the response to a worker's heartbeat."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.fleet_builder import ELECTED_AT, add_attempt, attempt_number, exited, heartbeat
 
 
-def test_exited_task_is_not_forgotten_while_a_direct_command_may_start_it_again(
+def test_exited_task_gets_no_forget_command_while_delayed_start_may_arrive(
     fleet: Fleet, command_planner: CommandPlanner
 ) -> None:
     machine, attempt = add_attempt(fleet, attempt_number(1))
@@ -15,6 +15,6 @@
     stopped = heartbeat(1, tasks=[exited(attempt.number, "stopped")])
     fleet.on_heartbeat(stopped, 101.0, answered=True)
     assert not command_planner.for_heartbeat(machine, stopped, 101.0, may_start=True)
-    # The late command does not match a new incarnation.
+    # A new incarnation rejects the delayed command.
     fleet.on_heartbeat(heartbeat(2, incarnation=2), 102.0, answered=True)
     assert not fleet.unacknowledged_starts.count()
--- a/petrelthread/fleet/test_failure_detector.py
+++ b/petrelthread/fleet/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""When a machine counts as unresponsive, and when it is quarantined."""
+"""Detection of unresponsive machines, and quarantine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return machine.health is Health.UNRESPONSIVE
 
 
-def test_most_machines_partitioned_at_once_suggests_a_fault_of_this_node(
+def test_machines_are_not_quarantined_if_most_are_partitioned_at_once(
     fleet: Fleet, failure_detector: FailureDetector
 ) -> None:
     for n in range(4):
@@ -25,20 +25,20 @@
     assert not any(machine.quarantine_reason for machine in fleet.machines.values())
 
 
-def test_machine_with_work_that_neither_reports_nor_responds_to_reads_is_unresponsive_early(
+def test_machine_with_attempts_and_failed_reads_is_unresponsive_before_timeout(
     fleet: Fleet, failure_detector: FailureDetector
 ) -> None:
     machine, _ = add_attempt(fleet, OLD_ATTEMPT)
     machine.transition(Health.UP)
     failure_detector.on_read(machine, answered=False)
-    assert not is_unresponsive_at(failure_detector, machine, 103.0)  # one lost message is not much
-    # A heartbeat from before the election, delayed until now, is no sign of life.
+    assert not is_unresponsive_at(failure_detector, machine, 103.0)  # one failed read is not enough
+    # A delayed heartbeat from before the election is no evidence that the worker is alive.
     fleet.on_heartbeat(heartbeat(7, EPOCH - 1), 104.0, answered=True)
     failure_detector.on_read(machine, answered=False)
     assert is_unresponsive_at(failure_detector, machine, 105.0)
 
 
-def test_machine_without_work_or_with_heartbeats_gets_the_whole_timeout(
+def test_failed_reads_are_ignored_for_idle_or_acknowledged_machine(
     fleet: Fleet, failure_detector: FailureDetector
 ) -> None:
     machine, attempt = add_attempt(fleet, OLD_ATTEMPT)
--- a/petrelthread/fleet/test_heartbeat_reconciler.py
+++ b/petrelthread/fleet/test_heartbeat_reconciler.py
@@ -1,4 +1,4 @@
-"""What a heartbeat proves about its machine, and what it does not."""
+"""Reconciliation of heartbeats with the state of their machine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.fleet_builder import EPOCH, HOST, add_attempt, attempt_number, heartbeat, running
 
 
-def test_copy_of_older_heartbeat_proves_nothing_and_undoes_nothing(
+def test_stale_heartbeat_changes_neither_attempts_nor_liveness(
     fleet: Fleet, failure_detector: FailureDetector
 ) -> None:
     fleet.on_heartbeat(heartbeat(1), 101.0, answered=True)
@@ -24,7 +24,7 @@
     assert machine.health is Health.UNRESPONSIVE
 
 
-def test_terminated_machine_stays_terminated(fleet: Fleet) -> None:
+def test_heartbeat_of_terminated_machine_is_ignored(fleet: Fleet) -> None:
     fleet.on_heartbeat(heartbeat(1), 101.0, answered=True)
     machine = fleet.get_or_add(HOST, 101.0)
     machine.transition(Health.TERMINATING)
@@ -33,7 +33,7 @@
     assert machine.health is Health.TERMINATED
 
 
-def test_copies_from_before_the_election_do_not_revive_a_returned_machine(
+def test_heartbeats_with_old_token_do_not_keep_machine_responsive(
     fleet: Fleet, failure_detector: FailureDetector
 ) -> None:
     for sequence_number in (1, 2, 3, 4):
@@ -42,10 +42,10 @@
     machine = fleet.get_or_add(HOST, 112.0)
     assert not fleet.is_schedulable(machine)
     failure_detector.check(118.0, 5.0)
-    assert machine.health is Health.UNRESPONSIVE  # so that it is returned
+    assert machine.health is Health.UNRESPONSIVE  # so that it is scaled in
 
 
-def test_machine_that_ignores_starts_is_excluded_until_it_lists_one(
+def test_machine_that_ignores_starts_is_not_schedulable_until_it_lists_one(
     fleet: Fleet, command_planner: CommandPlanner
 ) -> None:
     fleet.on_heartbeat(heartbeat(1), 100.0, answered=True)
@@ -56,6 +56,6 @@
         fleet.on_heartbeat(without_task, now, answered=True)
         command_planner.for_heartbeat(machine, without_task, now, may_start=True)
     assert not fleet.is_schedulable(machine)
-    assert attempt.state is not OperationState.SUPERSEDED  # a late command may still start it
+    assert attempt.state is not OperationState.SUPERSEDED  # a delayed command may still start it
     fleet.on_heartbeat(heartbeat(9, tasks=[running(attempt.number)]), 107.0, answered=True)
     assert fleet.is_schedulable(machine)
--- a/petrelthread/fleet/test_machine.py
+++ b/petrelthread/fleet/test_machine.py
@@ -1,4 +1,4 @@
-"""One machine: its health, what marks it as changed, and its image cache."""
+"""Machine: health transitions, change marking, and image cache."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     assert changed == {7}
 
 
-def test_change_of_other_field_does_not_mark_machine() -> None:
+def test_change_of_other_field_does_not_mark_machine_as_changed() -> None:
     changed: set[int] = set()
     machine = Machine(7, "host-7", 0.0, changed)
     changed.clear()
--- a/petrelthread/fleet/test_task_reconciler.py
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -1,4 +1,4 @@
-"""What a heartbeat's list of tasks proves about attempts."""
+"""Reconciliation of a heartbeat's listed tasks with attempts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_finished_task_counts_once_however_often_it_is_listed(fleet: Fleet) -> None:
+def test_finished_task_listed_repeatedly_counts_once(fleet: Fleet) -> None:
     machine, attempt = add_attempt(fleet, attempt_number(1))
     done = exited(attempt.number, "done")
     for sequence_number in (1, 2, 2, 1, 3):
@@ -34,7 +34,7 @@
     assert not fleet.attempts_on(machine)
 
 
-def test_checkpointed_run_time_is_not_run_again_and_counts_as_learned_run_time() -> None:
+def test_checkpointed_run_time_is_credited_and_included_in_learned_run_time() -> None:
     learned: list[float] = []
     fleet = build_fleet(FleetCallbacks(on_run_time=lambda job, ran_s: learned.append(ran_s)))
     job = fleet.cluster_state.jobs[0]
@@ -67,10 +67,10 @@
     assert job.lost_work_s(200.0, stopped=True) == 200.0
 
 
-def test_unrecorded_running_task_is_adopted_and_counted(
+def test_unrecorded_running_task_is_recorded_and_counted(
     fleet: Fleet, command_planner: CommandPlanner
 ) -> None:
-    """Released again at once, it could be started elsewhere while it runs."""
+    """If it were released at once, its task could be started elsewhere while it runs."""
     fleet.on_heartbeat(heartbeat(1), 100.5, answered=True)
     with_task = heartbeat(2, tasks=[running(attempt_number(epoch=EPOCH - 1))])
     machine = fleet.on_heartbeat(with_task, 101.0, answered=True)
@@ -82,16 +82,16 @@
     assert command_planner.for_heartbeat(machine, with_task, 101.0, may_start=True) == []
 
 
-def test_finished_task_that_is_not_recorded_yet_is_not_startable(fleet: Fleet) -> None:
+def test_finished_task_not_yet_recorded_is_not_startable(fleet: Fleet) -> None:
     job = fleet.cluster_state.jobs[0]
     fleet.finished_tasks[job.index] = {1, 2}
     assert job.pending_count == 4
     assert fleet.startable_count(job) == 2
 
 
-def test_heartbeat_proves_nothing_about_starts_of_a_newer_leader(fleet: Fleet) -> None:
-    # A deposed leader still gets responses to its commands after its watch has shown it starts of
-    # its successor. Superseded, they would be started a second time once it is elected again.
+def test_heartbeat_does_not_supersede_starts_of_a_newer_leader(fleet: Fleet) -> None:
+    # A former leader may get responses to its commands after its watch has shown it starts of its
+    # successor. If it superseded them, it would start them again once it is re-elected.
     fleet.on_heartbeat(heartbeat(1), 100.5, answered=True)
     _, attempt = add_attempt(fleet, attempt_number(epoch=EPOCH + 1))
     fleet.on_heartbeat(heartbeat(2), 101.0, answered=False)
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -1,4 +1,4 @@
-"""Starts that may still be carried out: raises of the token, and which workers are answered."""
+"""Starts that may still take effect: raises of the token, and answering of heartbeats."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     return SentStart()
 
 
-def test_start_is_held_from_sending_until_its_response(sent: SentStart) -> None:
+def test_start_is_tracked_until_its_response(sent: SentStart) -> None:
     assert sent.is_tracked()
     assert not sent.starts.count()
     sent.starts.on_acknowledged(sent.attempt)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("evidence", ["token", "incarnation", "lost", "lease"])
-def test_evidence_voids_start(sent: SentStart, evidence: str) -> None:
+def test_evidence_invalidates_start(sent: SentStart, evidence: str) -> None:
     sent.give_up()
     fleet, machine = sent.fleet, sent.machine
     fleet.on_heartbeat(heartbeat(2), AT + 1.0, answered=True)
@@ -85,18 +85,18 @@
     assert not sent.is_tracked()
 
 
-def test_answer_with_same_token_keeps_start_executable_for_another_lease(sent: SentStart) -> None:
+def test_response_with_same_token_keeps_start_executable_for_another_lease(sent: SentStart) -> None:
     sent.give_up()
     sent.starts.on_lease_renewed(sent.machine.index, EPOCH, AT + 8.0)
     sent.starts.expire_leases(AT + 8.0 + LEASE_S)
     assert sent.is_tracked()
-    # An answer with a higher token makes it void where it arrives, and prolongs nothing else.
+    # A response with a higher token invalidates it on arrival, and does not extend its validity.
     sent.starts.on_lease_renewed(sent.machine.index, EPOCH + 1, AT + 15.0)
     sent.starts.expire_leases(AT + 8.0 + LEASE_S + 0.6)
     assert not sent.is_tracked()
 
 
-def test_start_to_worker_without_this_epoch_outlasts_grace_period_of_former_leader(
+def test_start_to_worker_of_former_epoch_is_tracked_past_former_grace_period(
     sent: SentStart,
 ) -> None:
     sent.machine.acknowledged_epoch = EPOCH - 1
@@ -113,10 +113,10 @@
         sent.cancel()
     else:
         sent.attempt.stop_requested_at = AT + 0.5
-    assert sent.starts.raise_reason(EPOCH, AT + 1.0) is None  # its answer may still come
+    assert sent.starts.raise_reason(EPOCH, AT + 1.0) is None  # its response may still come
     sent.give_up()
     assert sent.starts.raise_reason(EPOCH, AT + 2.0) is RaiseReason.UNWANTED
-    assert sent.starts.raise_reason(EPOCH + 1, AT + 2.0) is None  # it has risen already
+    assert sent.starts.raise_reason(EPOCH + 1, AT + 2.0) is None  # the token is higher already
     sent.starts.on_raise_attempted(AT + 2.0)
     interval_s = sent.starts.raise_interval_s
     assert 1.0 <= interval_s <= LEASE_S / 2
@@ -125,17 +125,17 @@
 
 
 def test_token_is_raised_for_wanted_start_once_it_is_stale(sent: SentStart) -> None:
-    """Each raise makes every worker report once more, and these starts do no harm meanwhile."""
+    """Each raise costs a heartbeat of every worker, and wanted starts do no harm until then."""
     sent.give_up()
-    old_s = STALE_AFTER_LEASES * LEASE_S
-    assert sent.starts.raise_reason(EPOCH, AT + old_s - 0.1) is None
-    assert sent.starts.raise_reason(EPOCH, AT + old_s + 0.1) is RaiseReason.STALE
+    stale_age_s = STALE_AFTER_LEASES * LEASE_S
+    assert sent.starts.raise_reason(EPOCH, AT + stale_age_s - 0.1) is None
+    assert sent.starts.raise_reason(EPOCH, AT + stale_age_s + 0.1) is RaiseReason.STALE
 
 
-def test_listed_attempt_needs_no_raise_and_is_not_forgotten_before_command_is_void(
+def test_listed_attempt_needs_no_raise_and_no_forget_before_command_is_invalid(
     sent: SentStart,
 ) -> None:
-    """Cancelled while it runs: it is stopped, and stays listed until the command is void."""
+    """A task cancelled while it runs is stopped, and listed until the command is invalid."""
     sent.give_up()
     sent.fleet.on_heartbeat(
         heartbeat(2, tasks=[running(sent.attempt.number)]), AT + 1.0, answered=True
@@ -156,8 +156,8 @@
     assert [type(command) for command in commands] == [protocol.ForgetCommand]
 
 
-def test_cancelled_start_keeps_its_resources_until_it_is_void(sent: SentStart) -> None:
-    """Its machine does not list it, which proves nothing while the command may come."""
+def test_cancelled_start_keeps_its_resources_until_it_is_invalid(sent: SentStart) -> None:
+    """Its absence from heartbeats is no evidence while the command may still arrive."""
     sent.give_up()
     transition(sent.attempt, OperationState.UNKNOWN)
     sent.cancel()
@@ -170,32 +170,32 @@
         assert bool(sent.fleet.attempts_on(sent.machine)) is tracked
 
 
-def test_worker_is_not_answered_if_cancelled_start_could_outlast_the_bound(sent: SentStart) -> None:
-    sent.state_read_at = AT + 3.0  # the job was known to be open then
+def test_no_answer_if_cancelled_start_could_outlast_cancellation_deadline(sent: SentStart) -> None:
+    sent.state_read_at = AT + 3.0  # the job had no final status then
     assert sent.starts.may_answer(sent.machine.index, EPOCH, AT + 4.0)
     sent.cancel()
-    sent.state_read_at = AT + 15.0  # what is read later does not count for it
-    last = AT + 3.0 + LEASE_GRACE_S
-    assert sent.starts.may_answer(sent.machine.index, EPOCH, last - 0.1)
-    assert not sent.starts.may_answer(sent.machine.index, EPOCH, last)
-    assert sent.starts.may_answer(sent.machine.index, EPOCH + 1, last)
+    sent.state_read_at = AT + 15.0  # a read after the cancellation does not count
+    grace_end = AT + 3.0 + LEASE_GRACE_S
+    assert sent.starts.may_answer(sent.machine.index, EPOCH, grace_end - 0.1)
+    assert not sent.starts.may_answer(sent.machine.index, EPOCH, grace_end)
+    assert sent.starts.may_answer(sent.machine.index, EPOCH + 1, grace_end)
 
 
-def test_start_beyond_the_bound_is_counted_and_logged_once(
+def test_start_past_cancellation_deadline_is_counted_and_logged_once(
     sent: SentStart, caplog: pytest.LogCaptureFixture
 ) -> None:
     sent.give_up()
     sent.cancel()
-    bound_s = LEASE_GRACE_S + LEASE_S * 1.002 + 3.0
+    deadline_s = LEASE_GRACE_S + LEASE_S * 1.002 + 3.0
     with caplog.at_level(logging.ERROR):
-        for after_s in (bound_s - 0.1, bound_s + 0.1, bound_s + 5.0):
-            # Against the rule that ``may_answer`` keeps.
+        for after_s in (deadline_s - 0.1, deadline_s + 0.1, deadline_s + 5.0):
+            # ``may_answer`` would not permit this renewal.
             sent.starts.on_lease_renewed(sent.machine.index, EPOCH, AT + after_s)
             sent.starts.expire_leases(AT + after_s)
     assert sent.starts.past_bound_count == 1
     assert caplog.text.count("is possible") == 1
 
 
-def test_start_key_names_job_task_and_attempt_number(sent: SentStart) -> None:
+def test_start_key_contains_job_task_and_attempt_number(sent: SentStart) -> None:
     attempt: Attempt = sent.attempt
     assert key_of(attempt) == StartKey(0, 0, attempt.number)
--- a/petrelthread/fleet/test_worker_status_reader.py
+++ b/petrelthread/fleet/test_worker_status_reader.py
@@ -1,4 +1,4 @@
-"""Reads of workers by a new leader."""
+"""Status reads of workers by a new leader."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 @pytest.mark.parametrize(
-    ("late_s", "most"),
+    ("late_s", "limit"),
     [(0.0, MAX_READS), (0.5, MAX_READS_WHEN_LATE)],
     ids=["in-time", "late-event-loop"],
 )
-def test_new_leader_reads_a_limited_number_of_workers_at_a_time(late_s: float, most: int) -> None:
-    """All at once would hold up the event loop until the leader's lease expires."""
-    asked: list[str] = []
+def test_new_leader_reads_a_limited_number_of_workers_at_a_time(late_s: float, limit: int) -> None:
+    """Reading all at once would block the event loop until the leader's lease expires."""
+    requested: list[str] = []
 
     async def request(
         addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
     ) -> ClientResponse:
-        asked.append(addr)
+        requested.append(addr)
         raise NoResponseError("refused", False)
 
     async def main() -> None:
@@ -38,13 +38,13 @@
             fleet, FailureDetector(fleet), request, asyncio.Semaphore(MACHINES)
         )
         now, calls = 0.0, 0
-        while len(set(asked)) < MACHINES:
-            before = len(asked)
+        while len(set(requested)) < MACHINES:
+            before = len(requested)
             reader.read_workers(now, late_s)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert len(asked) - before <= most
+            assert len(requested) - before <= limit
             now, calls = now + 0.001, calls + 1
-        assert calls == MACHINES // most
+        assert calls == MACHINES // limit
 
     asyncio.run(main())
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -200,7 +200,7 @@
         start by its token, and one that is lost does not renew the lease.
         """
         lease_s = longest_lease_s(self._lease_s)
-        reason = "no answer with its token went to its machine for a lease"
+        reason = "its machine got no heartbeat response with its token for a lease duration"
         for machine in list(self._by_machine):
             self._invalidate(machine, reason, lambda start: now > start.renewed_at + lease_s)
         self._report_overdue(now)
--- a/petrelthread/fleet/worker_status_reader.py
+++ b/petrelthread/fleet/worker_status_reader.py
@@ -1,4 +1,4 @@
-"""Requests by which the leader finds out by itself how workers are, without their heartbeats."""
+"""Requests by which the leader checks workers without waiting for their heartbeats."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 RESPONSE_TIMEOUT_S = 2.0
 PROBE_TIMEOUT_S = 1.0
-MAX_READS = 250  # workers that one call reads,
-MAX_READS_WHEN_LATE = 25  # and while the event loop
-MAX_LOOP_DELAY_S = 0.1  # is late by more than this
+MAX_READS = 250  # workers that one call reads at most
+MAX_READS_WHEN_LATE = 25  # the same while the event loop is late by MAX_LOOP_DELAY_S or more
+MAX_LOOP_DELAY_S = 0.1
 
 
 class WorkerStatusReader:
@@ -33,13 +33,13 @@
         request: Request,
         command_slots: asyncio.Semaphore,
     ) -> None:
-        """Read nothing yet.
+        """Create the reader.
 
         Args:
             fleet: The machines.
-            failure_detector: It selects workers to ask, and judges the outcome.
+            failure_detector: Selects the workers to read and probe, and evaluates the results.
             request: Sends one HTTP request.
-            command_slots: Limits the reads under way, together with direct commands.
+            command_slots: Limits the reads in flight, together with direct commands.
         """
         self._fleet = fleet
         self._failure_detector = failure_detector
@@ -50,16 +50,17 @@
     def read_workers(self, now: float, late_s: float = 0.0) -> None:
         """Read some of the workers that have not acknowledged this epoch.
 
-        Until a worker has, nothing may be placed on its machine, and one whose controller hangs
-        takes seconds to find this one. Only some, because each read takes time from the event loop,
-        which also has to renew the leader's lease; most workers report by themselves.
+        Until a worker has acknowledged it, nothing may be placed on its machine, and a worker whose
+        controller hangs takes seconds to find this one. The number is limited because each read
+        takes time on the event loop, which also has to renew the leader's lease. Most workers send
+        a heartbeat on their own.
 
         Args:
             now: Event loop time.
-            late_s: How late the event loop runs.
+            late_s: By how much the event loop is late.
         """
-        most = MAX_READS if late_s < MAX_LOOP_DELAY_S else MAX_READS_WHEN_LATE
-        for machine in self._failure_detector.unread_machines(now)[:most]:
+        limit = MAX_READS if late_s < MAX_LOOP_DELAY_S else MAX_READS_WHEN_LATE
+        for machine in self._failure_detector.unread_machines(now)[:limit]:
             machine.last_read_at = now
             self._reading.start(self._read_worker(machine, self._fleet.epoch))
 
@@ -71,11 +72,11 @@
             clock = asyncio.get_running_loop().time
             asked_at = clock()
             try:
-                response = await self._show_token(machine)
+                response = await self._send_token(machine)
                 heartbeat = protocol.parse_heartbeat(response.body)
             except (NoResponseError, protocol.BadRequestError) as error:
                 log.debug("machine %s: status not read: %s", machine.name, error)
-                # A timeout that fired late, or during a pause of this process, proves nothing.
+                # A timeout that fired late, or during a pause of this process, is no evidence.
                 in_time = (
                     clock() - asked_at < 2 * RESPONSE_TIMEOUT_S + MAX_LOOP_DELAY_S
                     and fleet.resumed_at < asked_at
@@ -86,14 +87,14 @@
         if response.status == HTTPStatus.OK and fleet.epoch == epoch:
             fleet.on_heartbeat(heartbeat, asyncio.get_running_loop().time(), answered=False)
 
-    async def _show_token(self, machine: Machine) -> ClientResponse:
-        """Make the worker take this leader's token, so that it refuses older ones from then on.
+    async def _send_token(self, machine: Machine) -> ClientResponse:
+        """Send the worker this leader's token, so that it rejects lower ones from then on.
 
         Returns:
             The response to a command request without commands.
 
         Raises:
-            NoResponseError: One of two requests got no response.
+            NoResponseError: One of the two requests got no response.
             protocol.BadRequestError: The worker's status is malformed.
         """
         status = await self._request(
@@ -106,7 +107,7 @@
         )
 
     def probe(self, now: float) -> None:
-        """Ask machines with service replicas whose heartbeat is overdue for a sign of life."""
+        """Probe the machines with service replicas whose heartbeat is overdue."""
         for machine in self._failure_detector.overdue_machines(now):
             machine.probing = True
             self._reading.start(self._probe(machine, self._fleet.epoch))
