--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -29,7 +29,7 @@
 MAX_HEARTBEAT_TRANSIT_S = 0.75
 MAX_FAILED_PROBES = 2  # consecutive; then the machine's replicas are replaced elsewhere
 FIND_LEADER_S = 4.0  # added to the timeout of workers not yet answered by this leader
-ALWAYS_CREDIBLE_OVERDUE = 2  # so few overdue machines never suggest a fault of this node
+ALWAYS_CREDIBLE_OVERDUE = 2  # up to so many overdue machines never suggest a fault of this node
 
 
 class FailureDetector:
--- a/petrelthread/fleet/heartbeat_reconciler.py
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -59,8 +59,8 @@
             machine.sequence_number,
         ):
             if answered:
-                # The worker counts the renewed lease from when it sent the heartbeat. That was
-                # before the newest one arrived.
+                # The worker sent this heartbeat before the newest one arrived, and counts a renewed
+                # lease from the time of sending, so from that arrival at the latest.
                 machine.lease_renewed_at = max(machine.lease_renewed_at, machine.last_message_at)
             return None
         if machine.health is Health.TERMINATED:
--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -26,7 +26,7 @@
 
     BOOTING = "booting"  # rented or listed by the cloud; no heartbeat received yet
     UP = "up"
-    DRAINING = "draining"  # about to be reclaimed or returned; no new work is placed on it
+    DRAINING = "draining"  # the cloud will reclaim it soon; no new work is placed on it
     UNRESPONSIVE = "silent"  # heartbeat, reads or probes failed; its tasks may still run
     TERMINATING = "returning"  # its scale-in is recorded or sent, but not confirmed
     TERMINATED = "gone"  # the cloud has confirmed the scale-in
@@ -108,7 +108,7 @@
     lease_lost_at: float = 0.0  # time of the newest such expiry
 
     # Reads and probes of the worker's status
-    last_read_at: float = NEVER  # when it last tried to read the worker's status
+    last_read_at: float = NEVER  # when the leader last tried to read the status
     failed_reads: int = 0  # consecutive reads without a response
     probing: bool = False  # a probe is in flight
     failed_probes: int = 0  # consecutive probes without a response
--- a/petrelthread/fleet/task_reconciler.py
+++ b/petrelthread/fleet/task_reconciler.py
@@ -102,7 +102,7 @@
         task: int,
         task_report: protocol.TaskReport,
     ) -> Attempt | None:
-        """Record a running attempt that is missing, so that its task is not started elsewhere too.
+        """Record an attempt that runs without a record, so that its task starts nowhere else.
 
         Returns:
             The new attempt; None if the attempt has exited, or its task is not pending.
@@ -114,7 +114,7 @@
             return None
         if job.final_status is not None or job.task_states[task] != TASK_PENDING:
             return None
-        log.info("machine %s runs unrecorded task %s/%d: recorded", machine.name, job.id, task)
+        log.info("machine %s runs unrecorded task %s/%d: adopted", machine.name, job.id, task)
         return self._cluster_state.add_attempt(
             task_report.attempt, job, task, machine.index, incarnation
         )
@@ -190,7 +190,8 @@
             return
         epoch = self._registry.epoch
         if epoch_of(attempt.number) >= epoch:
-            return  # this epoch's start is sent again; a newer epoch's belongs to its leader
+            # A start of this epoch is sent again; one of a newer epoch is up to its own leader.
+            return
         if machine.highest_token >= epoch:
             # The worker rejects the commands of all former leaders.
             self._outcomes.supersede(
--- a/petrelthread/fleet/test_task_reconciler.py
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -67,7 +67,7 @@
     assert job.lost_work_s(200.0, stopped=True) == 200.0
 
 
-def test_unrecorded_running_task_is_recorded_and_counted(
+def test_unrecorded_running_task_is_adopted_and_counted(
     fleet: Fleet, command_planner: CommandPlanner
 ) -> None:
     """If it were released at once, its task could be started elsewhere while it runs."""
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -190,7 +190,7 @@
         self._invalidate(machine, reason, lambda start: start.fencing_token < token)
 
     def on_incarnation_ended(self, machine: int, reason: str) -> None:
-        """Invalidate the machine's starts, which were meant for an ended incarnation."""
+        """Invalidate all starts on the machine: the incarnation they were sent to has ended."""
         self._invalidate(machine, reason, _any_start)
 
     def expire_leases(self, now: float) -> None:
@@ -200,7 +200,7 @@
         start by its token, and one that is lost does not renew the lease.
         """
         lease_s = longest_lease_s(self._lease_s)
-        reason = "its machine got no heartbeat response with its token for a lease duration"
+        reason = "no heartbeat response with its token was sent to its machine for a lease duration"
         for machine in list(self._by_machine):
             self._invalidate(machine, reason, lambda start: now > start.renewed_at + lease_s)
         self._report_overdue(now)
@@ -289,8 +289,8 @@
         """
         for start in self._by_machine.get(machine, {}).values():
             self._update_known_open(start)
-            grace_over = now >= start.known_open_at + self._lease_grace_s
-            if grace_over and start.fencing_token >= token and not start.listed:
+            grace_expired = now >= start.known_open_at + self._lease_grace_s
+            if grace_expired and start.fencing_token >= token and not start.listed:
                 return False
         return True
 
--- a/petrelthread/fleet/worker_lease.py
+++ b/petrelthread/fleet/worker_lease.py
@@ -1,7 +1,7 @@
 """When a worker's lease has certainly expired, so that none of its tasks runs any more.
 
-A response to one of its heartbeats renews a worker's lease. The worker kills its tasks when the
-lease expires. It measures the lease with its own clock, from when it sent the heartbeat. By this
+The response to a heartbeat renews the worker's lease. The worker kills its tasks when the lease
+expires. It measures the lease with its own clock, from when it sent the heartbeat. By this
 node's clock, the lease therefore expires at most ``longest_lease_s`` after the response was sent.
 """
 
--- a/petrelthread/fleet/zone_monitor.py
+++ b/petrelthread/fleet/zone_monitor.py
@@ -10,7 +10,7 @@
 MISSED_HEARTBEATS = 2.5  # heartbeat intervals without any heartbeat from a zone
 LEADER_DISCOVERY_S = 5.0  # added to the timeout while workers look for a new leader
 LEADER_DISCOVERY_PERIODS = 3  # the addition applies for so many times LEADER_DISCOVERY_S
-MIN_MACHINES_AS_EVIDENCE = 4  # machines without heartbeats, in a zone without controllers
+MIN_MACHINES_AS_EVIDENCE = 4  # fewer machines are no evidence in a zone without controllers
 RETRY_AFTER_S = 30.0  # after that, a zone without controllers counts as reachable again
 
 EXPECTED_TO_SEND_HEARTBEATS = (Health.UP, Health.DRAINING, Health.UNRESPONSIVE)
@@ -69,7 +69,7 @@
     def _restore(
         self, last_seen_at: dict[int, float], controllers: dict[int, bool], now: float
     ) -> set[int]:
-        """Restore zones with a heartbeat or a reachable controller since they were cut off.
+        """Restore zones with a new heartbeat or a reachable controller, or due for a retry.
 
         The absence of unresponsive machines is no evidence, because the machines of a zone that is
         cut off are returned to the cloud.
