--- a/petrelthread/controller/__init__.py
+++ b/petrelthread/controller/__init__.py
@@ -1,4 +1,4 @@
-"""One controller: the composition root, the routes of requests, and the periodic work."""
+"""A controller: the composition root, the request routes, and the periodic loops."""
 
 from petrelthread.controller.controller import Controller
 
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -1,4 +1,4 @@
-"""The composition root: builds one controller from its parts and connects them."""
+"""The composition root: builds the components of a controller and connects them."""
 
 from __future__ import annotations
 
@@ -42,19 +42,19 @@
 
 log = logging.getLogger(__name__)
 
-STATE_SERVICE_SHARE = 0.9  # of the state service's limits, over all controllers
-CLOUD_SHARE = 0.85  # of the cloud's limit; only the leader calls it
-CLOUD_BURST_S = 2.0  # seconds' worth of calls that the cloud takes at once
-CLEAN_UP_RESERVE = 0.5  # of the write burst, which deleting settled records leaves untouched
-STATE_SERVICE_OK_S = 3.0  # with news of the state service no older than this, it is reachable
-MAX_CONCURRENT_COMMANDS = 24
-LEADER_POLL_INTERVAL_S = 0.03  # between two watches of the state service
+STATE_SERVICE_SHARE = 0.9  # share of the state service's limits that all controllers use
+CLOUD_SHARE = 0.85  # share of the cloud's limit; not divided, since the leader makes the calls
+CLOUD_BURST_S = 2.0  # the cloud accepts this many seconds' worth of calls at once
+CLEANUP_RESERVE_SHARE = 0.5  # of the write burst, not used for deleting settled records
+STATE_SERVICE_TIMEOUT_S = 3.0  # without a completed read for this long, it is unreachable
+MAX_CONCURRENT_COMMANDS = 24  # default for direct requests to workers
+LEADER_POLL_INTERVAL_S = 0.03  # pause between two watches of the state service
 FOLLOWER_POLL_INTERVAL_S = 0.15
-UNKNOWN_CACHE_GB = 1e9  # image cache of a machine whose type is not known
+UNLIMITED_CACHE_GB = 1e9  # assumed for the image cache of a machine of unknown type
 
 
 class Controller:
-    """One controller of the service. ``run`` serves until it is cancelled.
+    """One controller of the cluster, active while ``run`` is.
 
     ``handle`` answers requests to the public address, ``handle_peer`` those to the peer address.
     """
@@ -68,19 +68,20 @@
         commands_at_once: int = MAX_CONCURRENT_COMMANDS,
         lease_request: Request | None = None,
     ) -> None:
-        """Connect all parts; nothing is sent before ``run``.
+        """Build and connect all components; nothing is sent before ``run``.
 
         Args:
-            settings: as handed over by the platform.
+            settings: the settings that the platform supplies.
             request: sends HTTP requests.
-            randomness: for delays that keep controllers apart.
-            commands: sends requests to workers, if not ``request``.
-            commands_at_once: how many of those may be in flight.
-            lease_request: sends renewals of the leader's lease, which wait behind nothing else.
+            randomness: draws delays, so that controllers do not act at the same time, and nonces.
+            commands: sends requests to workers; ``request`` if None.
+            commands_at_once: how many requests to workers may be in flight.
+            lease_request: sends lease renewals, so that they never queue behind other requests;
+                ``request`` if None.
         """
         self.settings = settings
         self.pause_detector = PauseDetector(self._on_process_resumed)
-        self.load_shedder = LoadShedder()  # of requests to the public address
+        self.load_shedder = LoadShedder()  # for requests to the public address
         self.alerts = AlertTracker()
         self._build_state(request, lease_request)
         self._build_leadership(randomness)
@@ -169,7 +170,7 @@
             self.command_dispatcher,
             self.view,
             self.watch_cache.refresh,
-            lambda now: self.state.write_bucket.available(now, CLEAN_UP_RESERVE),
+            lambda now: self.state.write_bucket.available(now, CLEANUP_RESERVE_SHARE),
         )
 
     def _build_provisioning(self, request: Request) -> None:
@@ -187,10 +188,10 @@
             context,
             self.scheduler,
             self.view,
-            lambda: self._state_changes.provisioning_options,
+            lambda: self._state_change_handler.provisioning_options,
             self.zone_monitor.cut_off_since,
         )
-        self._state_changes = StateChangeHandler(
+        self._state_change_handler = StateChangeHandler(
             self.election, self.cluster_state, self.scheduler, self.provisioner
         )
 
@@ -254,10 +255,10 @@
             self._update_alerts,
         )
 
-    # ---- service -------------------------------------------------------------------------------
+    # ---- loops and requests --------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Take part in the service until cancelled."""
+        """Run all loops until cancelled."""
         self.write_rates.start()
         await asyncio.gather(
             self.watch_cache.follow(),
@@ -278,13 +279,13 @@
 
     @property
     def provisioning_options(self) -> ProvisioningOptions:
-        """The operators' settings in force for provisioning."""
-        return self._state_changes.provisioning_options
+        """The provisioning options in force, as set by operators."""
+        return self._state_change_handler.provisioning_options
 
     # ---- events --------------------------------------------------------------------------------
 
     def _on_key(self, key: str, value: Any, revision: int) -> None:
-        self._state_changes.on_key(key, value, revision)
+        self._state_change_handler.on_key(key, value, revision)
 
     def on_role_changed(self, role: Role) -> None:
         """Adapt to a new role; see ``LeadershipListener``."""
@@ -296,16 +297,16 @@
             LEADER_POLL_INTERVAL_S if active else FOLLOWER_POLL_INTERVAL_S
         )
         if role is Role.LEADING:
-            # Until the catalogue is read, submissions are refused.
+            # The provisioner reads the catalogue; submissions are refused until it is known.
             self.provisioner.wake.set()
             self.scheduler.wake.set()
 
     def on_fencing_token_raised(self, token: int) -> None:
-        """Send commands with a higher fencing token from now on."""
+        """Send all further commands with the raised fencing token."""
         self.fleet.fencing_token = token
 
     async def on_elected(self) -> None:
-        """Fail over: the state has just been read again."""
+        """Rebuild the in-memory state of a leader from the stored state, which was just read."""
         now = asyncio.get_running_loop().time()
         epoch = self.election.epoch
         self.fleet.fail_over(epoch, now, self.cluster_state.recorded_machines())
@@ -328,7 +329,7 @@
         self.scheduler.wake.set()
 
     def _on_process_resumed(self, _pause_s: float, now: float) -> None:
-        """What was known before the pause is older than it looks."""
+        """Discard evidence from before a process pause, because it is older than it looks."""
         self.election.on_process_resumed()
         self.fleet.resumed_at = now
         self.peer_monitor.last_received.clear()
@@ -340,7 +341,7 @@
             self.settings.host_name,
             self.election.highest_known_epoch,
             self.election.is_leader,
-            now - self.watch_cache.current_as_of < STATE_SERVICE_OK_S,
+            now - self.watch_cache.current_as_of < STATE_SERVICE_TIMEOUT_S,
             self.heartbeat_handler.recent_count(now),
             self.settings.zone,
             requested_write_rate=self.write_rates.requested_rate(now),
@@ -351,4 +352,4 @@
 
     def _image_cache_gb(self, machine_type_index: int) -> float:
         machine_type = self.provisioner.machine_types.get(machine_type_index)
-        return machine_type.local_disk_gb if machine_type else UNKNOWN_CACHE_GB
+        return machine_type.local_disk_gb if machine_type else UNLIMITED_CACHE_GB
--- a/petrelthread/controller/housekeeping.py
+++ b/petrelthread/controller/housekeeping.py
@@ -1,4 +1,4 @@
-"""Periodic work of every controller: alerts, write rates, reachability of zones and workers."""
+"""Periodic checks on every controller: alerts, write rates, reachability of zones and workers."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 INTERVAL_S = 0.5
 LOAD_LOG_INTERVAL_S = 5.0
-MAX_STATE_AGE_S = 1.0  # older than this, the watch cache is refreshed
-PEER_RECENT_S = 3.0  # a peer heard within this counts as reachable
-READ_WORKERS_S = 15.0  # after its election a leader reads workers that do not report by themselves
-ABSTAIN_S = 15.0  # how long a leader that workers cannot reach leaves the lead to others
-MIN_PEER_HEARTBEATS = 2  # that siblings must have received for workers to count as alive
+MAX_STATE_AGE_S = 1.0  # the watch cache is refreshed if its newest read is older
+PEER_TIMEOUT_S = 3.0  # a sibling without a heartbeat for longer counts as unreachable
+READ_WORKERS_S = 15.0  # how long after its election a leader reads workers that have not reported
+ABSTAIN_S = 15.0  # how long a leader that resigned because no worker reaches it does not campaign
+MIN_PEER_HEARTBEATS = 2  # worker heartbeats at siblings that prove that workers are alive
 
 
 @dataclass
 class Housekeeping:
-    """Runs on every controller, whatever its role."""
+    """Runs the periodic checks, on every controller and in every role."""
 
     settings: Settings
     election: Election
@@ -48,7 +48,7 @@
     _load_logged_at: float = field(default=0.0, init=False)
 
     async def run(self) -> None:
-        """Repeat all checks every half second."""
+        """Run all checks every ``INTERVAL_S`` until cancelled."""
         loop = asyncio.get_running_loop()
         self._load_logged_at = loop.time()
         while True:
@@ -80,8 +80,8 @@
         if self.election.is_leader and log.isEnabledFor(logging.DEBUG):
             starts = self.fleet.unacknowledged_starts
             log.debug(
-                "load: %s; event loop late by %.2f s at most; fencing token %d,"
-                " %d starts unacknowledged, the oldest for %.1f s",
+                "load: %s; maximum event loop delay %.2f s; fencing token %d;"
+                " %d unacknowledged starts, the oldest unanswered for %.1f s",
                 self.view.load_summary(),
                 self._max_delay_s,
                 self.election.fencing_token,
@@ -91,31 +91,35 @@
         self._max_delay_s, self._load_logged_at = 0.0, now
 
     def _check_zones(self, now: float) -> None:
-        """Log when a zone becomes unreachable, and when it is reachable again."""
+        """Update the zone monitor and log which zones became unreachable or reachable again."""
         names = self.fleet.cluster_state.names.zones
         controllers = {
-            names.index(zone): reachable for zone, reachable in self._controller_zones().items()
+            names.index(zone): reachable
+            for zone, reachable in self._controller_reachability().items()
         }
         machines = self.fleet.machines.values()
         since = max(self.election.elected_at, self.pause_detector.resumed_at)
         cut_off, restored = self.zone_monitor.update(machines, controllers, since, now)
         for zone in sorted(cut_off):
-            log.warning("zone %s is cut off: nothing in it is reachable", names.name(zone))
+            log.warning(
+                "zone %s is unreachable: no heartbeat from any machine or controller in it",
+                names.name(zone),
+            )
         for zone in sorted(restored):
             log.info("zone %s is reachable again", names.name(zone))
 
-    def _controller_zones(self) -> dict[str, bool]:
-        """For each zone with controllers, whether one of them was heard from lately."""
-        recent = {heartbeat.node for heartbeat in self.peer_monitor.recent(PEER_RECENT_S)}
+    def _controller_reachability(self) -> dict[str, bool]:
+        """Map each zone that has controllers to whether one of them is reachable."""
+        recent = {heartbeat.node for heartbeat in self.peer_monitor.recent(PEER_TIMEOUT_S)}
         reachable = {self.settings.zone: True} if self.settings.zone else {}
         for sibling in self.settings.siblings:
             if sibling.zone:
-                before = reachable.get(sibling.zone, False)
-                reachable[sibling.zone] = before or sibling.host_name in recent
+                already_reachable = reachable.get(sibling.zone, False)
+                reachable[sibling.zone] = already_reachable or sibling.host_name in recent
         return reachable
 
     async def _resign_if_unreachable(self, now: float) -> None:
-        """A leader that no worker reaches, while its siblings hear from them, resigns."""
+        """Resign as leader if no worker reaches this controller but workers reach its siblings."""
         election = self.election
         since = max(election.elected_at, self.pause_detector.resumed_at)
         grace_s = self.heartbeat_handler.window_s + FIND_LEADER_S
@@ -123,8 +127,8 @@
             return
         if self.heartbeat_handler.recent_count(now) > 0:
             return
-        recent = self.peer_monitor.recent(PEER_RECENT_S)
+        recent = self.peer_monitor.recent(PEER_TIMEOUT_S)
         received = sum(heartbeat.worker_heartbeats for heartbeat in recent)
         if received >= MIN_PEER_HEARTBEATS:
-            log.info("no worker reaches this node, siblings received %d heartbeats", received)
+            log.info("no worker reaches this node, but siblings received %d heartbeats", received)
             await election.resign("workers do not reach this node", ABSTAIN_S)
--- a/petrelthread/controller/provisioning_loop.py
+++ b/petrelthread/controller/provisioning_loop.py
@@ -1,4 +1,4 @@
-"""The leader's work with the cloud, and every controller's need of the catalogue."""
+"""The leader's provisioning steps, and reading of the catalogue on followers."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAIT_S = 1.0  # for an event, before the next step
+MAX_WAIT_S = 1.0  # for a wake-up, before the next step
 STEP_INTERVAL_S = 0.5  # between two steps, at least
-PLAN_TIME_SHARE = 0.1  # of the time that planning may take
-# The leader stores the catalogue for all. A follower asks the cloud itself only after this, since
-# the calls of all would spend the burst that the first scale-out requests need.
+MAX_PLAN_TIME_SHARE = 0.1  # share of the time that planning may take
+# The leader stores the catalogue for all controllers. A follower that still lacks it after this
+# time reads it from the cloud. It waits because calls by all controllers would use up the burst
+# that the first scale-out requests need.
 CATALOG_FALLBACK_S = 2.0
 BYTES_PER_KB = 1000
 
 
 @dataclass
 class ProvisioningLoop:
-    """Runs the provisioner while this controller leads."""
+    """Runs the provisioner while this controller leads; a follower only reads the catalogue."""
 
     election: Election
     claims: ClaimWriter
@@ -38,7 +39,7 @@
     max_value_kb: float
 
     async def run(self) -> None:
-        """One step after the other, sooner after an event."""
+        """Run steps until cancelled, each after a wake-up or ``MAX_WAIT_S`` without one."""
         started_at = asyncio.get_running_loop().time()
         while True:
             try:
@@ -55,7 +56,7 @@
                     await self.provisioner.step(now)
                     await self._store_catalog()
                     plan_s = self.provisioner.last_plan_duration_s
-                    pause_s = max(pause_s, plan_s / PLAN_TIME_SHARE)
+                    pause_s = max(pause_s, plan_s / MAX_PLAN_TIME_SHARE)
                 elif not self.provisioner.machine_types and now - started_at > CATALOG_FALLBACK_S:
                     await self.provisioner.read_catalog(now)
             except Exception:
@@ -63,7 +64,7 @@
             await asyncio.sleep(pause_s)
 
     async def _store_catalog(self) -> None:
-        """So that a controller started while the cloud is down still knows the machine types."""
+        """Store the catalogue for controllers that start while the cloud is unavailable."""
         if self.cluster_state.catalog is not None or not self.provisioner.machine_types:
             return
         value = msgspec.to_builtins(protocol.Catalog(self.provisioner.catalog() or ()))
--- a/petrelthread/controller/routes.py
+++ b/petrelthread/controller/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the two addresses: one for users and workers, one for siblings and operators."""
+"""Request routes of the public address (users, workers) and peer address (siblings, operators)."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from petrelthread.peers import PEER_HEARTBEAT_PATH, PeerMonitor
 from petrelthread.store import WatchCache
 
-READY_STATE_AGE_S = 3.0  # without news of the state service for longer, siblings serve better
-PEER_RECENT_S = 3.0  # a peer heard within this counts as reachable
+MAX_READY_STATE_AGE_S = 3.0  # with an older state, a node is not ready if siblings are current
+PEER_TIMEOUT_S = 3.0  # a sibling without a heartbeat for longer counts as unreachable
 
 
 @dataclass
 class PublicRoutes:
-    """Users, workers and health checks."""
+    """Routes requests of users, workers and health checks."""
 
     job_api: JobApi
     heartbeat_handler: HeartbeatHandler
@@ -45,19 +45,19 @@
     def _ready(self) -> Response:
         if not self.watch_cache.loaded.is_set():
             return error_response(503, "still starting", 1)
-        # Refused by the state service alone, this node does worse than its siblings. In an outage
-        # for all, leaving would only add the time of coming back to it.
-        peers = self.peer_monitor.recent(PEER_RECENT_S)
+        # If only this node cannot reach the state service, its siblings serve requests better. If
+        # no controller can, not being ready would only delay the recovery after the outage.
+        peers = self.peer_monitor.recent(PEER_TIMEOUT_S)
         peers_reach_state = any(heartbeat.state_service_ok for heartbeat in peers)
         age_s = asyncio.get_running_loop().time() - self.watch_cache.current_as_of
-        if peers_reach_state and age_s > READY_STATE_AGE_S:
+        if peers_reach_state and age_s > MAX_READY_STATE_AGE_S:
             return error_response(503, "state service unreachable", 1)
         return json_response(200, {"ready": True})
 
 
 @dataclass
 class PeerRoutes:
-    """Siblings and operators."""
+    """Routes requests of siblings and operators."""
 
     peer_monitor: PeerMonitor
     admin: Admin
--- a/petrelthread/controller/scheduling_loop.py
+++ b/petrelthread/controller/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""The leader's rounds: failure detection, voiding of unacknowledged starts, and placement."""
+"""The leader's failure detection, voiding of unacknowledged starts, and placement rounds."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAIT_S = 1.0  # for an event, before the next round
+MAX_WAIT_S = 1.0  # for a wake-up, before the next round
 FOLLOWER_PAUSE_S = 0.05
 FAILURE_CHECK_INTERVAL_S = 0.5
-MISSED_HEARTBEATS = 2.5  # a machine is unresponsive after so many heartbeat intervals
-UNRESPONSIVE_MARGIN_S = 4.0  # and this
+MISSED_HEARTBEATS = 2.5  # heartbeat intervals without a heartbeat until a machine is unresponsive
+UNRESPONSIVE_MARGIN_S = 4.0  # in addition to ``MISSED_HEARTBEATS`` intervals
 
 
 @dataclass
 class SchedulingLoop:
-    """Runs on every controller and does something only while that one leads."""
+    """Runs rounds while this controller leads; a follower only waits."""
 
     election: Election
     claims: ClaimWriter
@@ -35,7 +35,7 @@
     load_shedder: LoadShedder
 
     async def run(self) -> None:
-        """One round after the other, at once after an event and else every second."""
+        """Run rounds until cancelled, each after a wake-up or ``MAX_WAIT_S`` without one."""
         wake = self.scheduler.wake
         failures_checked_at = 0.0
         while True:
@@ -66,14 +66,14 @@
         await self._void_unacknowledged_starts(now)
 
     async def _run_round(self, now: float) -> bool:
-        """True if there is more to do at once."""
+        """Run one round. Returns whether the next one should follow at once."""
         if self.scheduler.record_numbers_left() < MIN_RECORD_NUMBERS_LEFT:
             await self.election.resign("the record numbers of this epoch are used up", 0.0)
             return False
         return await self.scheduler.run_round(now)
 
     async def _void_unacknowledged_starts(self, now: float) -> None:
-        """Raise the fencing token when unacknowledged starts must not be executed any more."""
+        """Raise the fencing token if unacknowledged starts must no longer be executed."""
         starts = self.fleet.unacknowledged_starts
         reason = starts.raise_reason(self.election.fencing_token, now)
         if reason is None:
@@ -83,10 +83,10 @@
         starts.on_raise_attempted(asyncio.get_running_loop().time())
 
     def unresponsive_after_s(self, now: float) -> float:
-        """How long a machine may send no heartbeat before it counts as unresponsive, in seconds.
+        """Seconds without a heartbeat after which a machine counts as unresponsive.
 
-        While requests are shed for want of processor time a missing heartbeat proves little, and
-        machines that are well would be returned; the lease is the bound then.
+        While this controller is overloaded and sheds requests, a missing heartbeat is weak evidence
+        and healthy machines would be returned to the cloud. The timeout is at least the lease then.
         """
         timeout_s = MISSED_HEARTBEATS * self.fleet.heartbeat_interval_s + UNRESPONSIVE_MARGIN_S
         overloaded = now - self.load_shedder.last_shed_at < timeout_s
--- a/petrelthread/controller/state_changes.py
+++ b/petrelthread/controller/state_changes.py
@@ -1,4 +1,4 @@
-"""Changes of stored keys: which component each one goes to."""
+"""Passes changes of stored keys to the components that they concern."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StateChangeHandler:
-    """Takes every change that the watch cache reads, in the order of their revisions."""
+    """Handles every change that the watch cache reads, in order of revision."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.provisioning_options = ProvisioningOptions()
 
     def on_key(self, key: str, value: Any, revision: int) -> None:
-        """A key has changed; ``value`` is None if it was deleted."""
+        """Handle the change of a key (without prefix); ``value`` is None if it was deleted."""
         if key in (KeyKind.LEADER, KeyKind.EPOCH):
             self._election.on_key(key, value, revision)
             return
@@ -43,39 +43,39 @@
             self._apply_catalog(value)
         if key == KeyKind.OPTIONS:
             self._apply_options(value or {})
-        kind, _, rest = key.partition("/")
+        kind, _, suffix = key.partition("/")
         active = self._election.role in ACTIVE_ROLES
         if (
             active
             and kind == KeyKind.ROUND
             and value is not None
-            and self._is_own_round(int(rest), value)
+            and self._handle_own_round(int(suffix), value)
         ):
             return
         jobs_before = len(self._cluster_state.jobs)
         self._cluster_state.on_key(key, value, revision)
         if self._election.role is Role.LEADING:
-            accepted = kind == KeyKind.JOB and len(self._cluster_state.jobs) > jobs_before
-            self._wake_leader(accepted, finished=kind == KeyKind.FINAL_STATUS)
+            job_accepted = kind == KeyKind.JOB and len(self._cluster_state.jobs) > jobs_before
+            self._wake_leader(job_accepted, job_finished=kind == KeyKind.FINAL_STATUS)
 
-    def _wake_leader(self, accepted: bool, finished: bool) -> None:
-        if accepted:
+    def _wake_leader(self, job_accepted: bool, job_finished: bool) -> None:
+        if job_accepted:
             now = asyncio.get_running_loop().time()
             self._provisioner.forecast.note_accepted(self._cluster_state.jobs[-1], now)
             self._scheduler.wake.set()
             self._provisioner.wake.set()
-        elif finished:
+        elif job_finished:
             self._scheduler.wake.set()
 
-    def _is_own_round(self, number: int, record: Any) -> bool:
-        """Whether a round's record is dealt with here, as one of the epoch that we lead with."""
+    def _handle_own_round(self, number: int, record: Any) -> bool:
+        """Handle a record of this epoch that must not be applied; return whether it was one."""
         if self._scheduler.defer_record(number, record):
             return True
         known = number in self._cluster_state.attempts_by_round
         if known or epoch_of(number) != self._election.epoch:
             return False
-        # Either a claim that was applied although we had given it up, so that nothing of it was
-        # sent, or a late copy of one that was settled and deleted.
+        # Either the claim was applied after this controller had given it up, so that none of its
+        # starts was sent, or this is a late copy of a record that was settled and deleted.
         self._cluster_state.settle_unsent_round(number)
         return True
 
@@ -83,11 +83,11 @@
         try:
             self._provisioner.set_catalog(msgspec.convert(value, protocol.Catalog))
         except msgspec.ValidationError as error:
-            log.warning("stored catalogue unusable: %s", error)
+            log.warning("stored catalogue is malformed: %s", error)
 
     def _apply_options(self, stored: dict[str, Any]) -> None:
         values = with_defaults(stored)
         self.provisioning_options = provisioning_options(values)
         self._scheduler.round_interval_s = values["round_gap_s"]
         self._scheduler.round_budget_s = values["round_budget_s"]
-        log.info("operators' settings: %s", stored or "all at their defaults")
+        log.info("operators' settings: %s", stored or "all defaults")
--- a/petrelthread/controller/write_rates.py
+++ b/petrelthread/controller/write_rates.py
@@ -1,7 +1,7 @@
-"""How many writes to the state service this controller may make, as its role and load change.
+"""Adapts the rate of writes to the state service to this controller's role and load.
 
-The service's limit is divided by role (``store.WriteRates``). What a controller does not need of
-its share it lends to siblings (``store.WriteQuota``).
+The service's limit is divided by role (``store.WriteRates``). A controller lends the part of its
+share that it does not need to siblings (``store.WriteQuota``).
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-PEER_TIMEOUT_S = 10.0  # a sibling without a heartbeat for so long is likely to write nothing
-BORROW_AFTER_S = 20.0  # since the start, and since the service last refused us for our rate
+PEER_TIMEOUT_S = 10.0  # a sibling without a heartbeat for longer probably writes nothing
+BORROW_AFTER_S = 20.0  # a leader borrows only this long after its start and its last 429
 SAMPLE_WEIGHT = 0.3  # of the newest sample in the mean write rate
-MIN_SAMPLE_S = 0.1
+MIN_SAMPLE_S = 0.1  # assumed duration of a shorter sample
 
 
 class WriteRateManager:
-    """Keeps the write bucket of the state client at the rate that this controller may use."""
+    """Sets the rate of the state client's write bucket to what this controller may use."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         rates: WriteRates,
         role: Callable[[], Role],
     ) -> None:
-        """``rates``: the division of the present limit. ``role``: of this controller, now."""
+        """Start with ``rates``, the division of the present limit; ``role`` returns the role."""
         self._state_settings = settings.cluster.state
         self._controllers = max(1, settings.cluster.count)
         self._siblings = len(settings.siblings)
@@ -43,41 +43,41 @@
         self._limit = self._state_settings.write_rps
         self._rates = rates
         self._started_at = float("inf")
-        self._mean_rate = 0.0  # of our own writes, per second
+        self._mean_rate = 0.0  # of this controller's writes, per second; moving mean
         self._sampled_total = 0.0
         self.quota = WriteQuota(rates.follower)
 
     def start(self) -> None:
-        """The controller begins to run now."""
+        """Note that the controller starts to run now."""
         self._started_at = asyncio.get_running_loop().time()
 
     def update(self, peers: PeerMonitor, now: float) -> None:
-        """Set the rate anew after a change of role, loans or reachable siblings."""
+        """Recompute the write rate from the role, the loans and the reachable siblings."""
         self._detect_lowered_limit()
         active = self._role() in ACTIVE_ROLES
         unresponsive = 0
         if active and self._may_borrow(now):
             unresponsive = self._siblings - len(peers.recent(PEER_TIMEOUT_S))
         self.quota.base_rate = self._rates.leader if active else self._rates.follower
-        # Beyond its share a leader may use half of what unresponsive siblings have: they may be
-        # alive. Together with what all leave unused that stays within the limit.
-        idle = unresponsive * self._rates.follower / 2
-        self.quota.extra_rate = min(self._rates.unused, idle)
+        # Beyond its share a leader may use half of the shares of unresponsive siblings. They may
+        # be alive, so the extra rate is at most what all controllers leave unused of the limit.
+        idle_rate = unresponsive * self._rates.follower / 2
+        self.quota.extra_rate = min(self._rates.unused, idle_rate)
         self._bucket.set_rate(self.quota.rate(now), now)
 
     def sample(self, elapsed_s: float) -> None:
-        """Measure our own writes since the last sample."""
+        """Update the mean write rate by the writes since the last sample."""
         total = self._bucket.total_acquired
         recent = (total - self._sampled_total) / max(elapsed_s, MIN_SAMPLE_S)
         self._sampled_total = total
         self._mean_rate += (recent - self._mean_rate) * SAMPLE_WEIGHT
 
     def requested_rate(self, now: float) -> float:
-        """Writes a second to ask siblings for; 0 while our own share suffices."""
+        """Writes per second to borrow from siblings; 0 while this controller's share suffices."""
         return self.quota.base_rate if self._bucket.is_low(now) and self._may_borrow(now) else 0.0
 
     def lend(self, heartbeat: PeerHeartbeat, peers: PeerMonitor) -> float:
-        """Writes a second lent to a sibling that asks; only an idle controller lends any."""
+        """Return the writes per second lent to a sibling; only an idle controller lends any."""
         now = asyncio.get_running_loop().time()
         requested = heartbeat.requested_write_rate if self._bucket.is_full(now) else 0.0
         amount = self.quota.lend(heartbeat.node, requested, self._mean_rate, now)
@@ -85,11 +85,11 @@
         return amount
 
     def _may_borrow(self, now: float) -> bool:
-        """Whether siblings may be asked for writes.
+        """Whether this controller may borrow write rate from siblings.
 
-        A follower always may: early users all reach the controllers that are up first. A leader may
-        only while the service's bursts are not spent, since its writes would be refused, and with
-        them submissions.
+        A follower always may: the first users all reach the controllers that start first. A leader
+        may only while the service's burst allowance is not used up; otherwise the service would
+        refuse its writes, and submissions would fail.
         """
         if self._role() not in ACTIVE_ROLES:
             return True
@@ -97,11 +97,11 @@
         return not refused and now - self._started_at > BORROW_AFTER_S
 
     def _detect_lowered_limit(self) -> None:
-        """A refused write shows that the service may have lowered its limit, as was announced."""
+        """Use the announced lower limit once a write refused with 429 shows that it may apply."""
         lowered = self._state_settings.lowered_write_rps
         if not self._state_client.write_rate_limited or self._limit <= lowered:
             return
-        log.info("the state service accepts %.0f writes a second from now on", lowered)
+        log.info("state service write limit lowered to %.0f writes per second", lowered)
         self._limit = lowered
         self._rates = WriteRates.divide(lowered, self._controllers)
         self._bucket.burst = max(self._rates.burst, 1.0)
