--- a/petrelthread/controller/write_rates.py
+++ b/petrelthread/controller/write_rates.py
@@ -73,7 +73,7 @@
         self._mean_rate += (recent - self._mean_rate) * SAMPLE_WEIGHT
 
     def requested_rate(self, now: float) -> float:
-        """Writes per second to borrow from siblings; 0 while this controller's share suffices."""
+        """Writes per second to borrow from siblings; 0 if not needed or not permitted."""
         return self.quota.base_rate if self._bucket.is_low(now) and self._may_borrow(now) else 0.0
 
     def lend(self, heartbeat: PeerHeartbeat, peers: PeerMonitor) -> float:
--- a/petrelthread/peers/peer_heartbeat.py
+++ b/petrelthread/peers/peer_heartbeat.py
@@ -1,4 +1,4 @@
-"""The message that controllers exchange with their siblings."""
+"""The heartbeat message that sibling controllers exchange."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PeerHeartbeat(msgspec.Struct):
-    """What a controller tells a sibling about itself, as request and as response.
+    """State of the sending controller; body of both request and response.
 
     Rates are in writes to the state service per second.
     """
@@ -19,5 +19,5 @@
     state_service_ok: bool = msgspec.field(name="state_ok", default=False)
     worker_heartbeats: int = msgspec.field(name="workers", default=0)  # received recently
     zone: str = ""
-    requested_write_rate: float = msgspec.field(name="asks", default=0.0)  # in a request
-    lent_write_rate: float = msgspec.field(name="lends", default=0.0)  # in a response
+    requested_write_rate: float = msgspec.field(name="asks", default=0.0)  # to borrow; in requests
+    lent_write_rate: float = msgspec.field(name="lends", default=0.0)  # in responses
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -1,4 +1,4 @@
-"""Exchanges heartbeats with the sibling controllers and keeps the newest one of each."""
+"""Exchanges heartbeats with the sibling controllers and keeps the newest one from each."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_INTERVAL_S = 1.0  # from a sibling's response, or its lack, to the next request
+HEARTBEAT_INTERVAL_S = 1.0  # from a response or failure to the next request
 HEARTBEAT_TIMEOUT_S = 0.8
 
 
 class ReceivedHeartbeat(NamedTuple):
-    """A sibling's heartbeat and when it came, by the event loop's clock."""
+    """A sibling's heartbeat and the event loop time at which it was received."""
 
     heartbeat: PeerHeartbeat
     received_at: float
@@ -40,8 +40,8 @@
 class PeerMonitor:
     """Sends this controller's heartbeat to each sibling and answers theirs.
 
-    What siblings say is a hint about epochs, reachability and spare write rate. A sibling that is
-    unresponsive or sends malformed messages is left out and tried again.
+    Heartbeats are hints about epochs, reachability and unused write rate. A failed or malformed
+    exchange is ignored, and the sibling is retried after ``HEARTBEAT_INTERVAL_S``.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
 
         Args:
             siblings: The other controllers.
-            request: Carries requests to siblings.
+            request: Sends an HTTP request to a sibling.
             own_heartbeat: Returns this controller's heartbeat.
             on_heartbeat: Called with each heartbeat received, in a request or in a response.
             lend: Returns the write rate, per second, lent to the sender of a request.
@@ -73,13 +73,13 @@
         self.last_received: dict[str, ReceivedHeartbeat] = {}  # by the sender's host name
 
     def record(self, heartbeat: PeerHeartbeat) -> None:
-        """Keep a heartbeat that was just received and pass it on."""
+        """Keep a heartbeat that was just received and report it to ``on_heartbeat``."""
         received_at = asyncio.get_running_loop().time()
         self.last_received[heartbeat.node] = ReceivedHeartbeat(heartbeat, received_at)
         self._on_heartbeat(heartbeat)
 
     def recent(self, within_s: float) -> list[PeerHeartbeat]:
-        """Return the newest heartbeat of each sibling that was heard within ``within_s``."""
+        """Return the newest heartbeat of each sibling, if received within ``within_s`` seconds."""
         now = asyncio.get_running_loop().time()
         return [
             received.heartbeat
@@ -96,12 +96,12 @@
         except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
             return error_response(400, str(error))
         self.record(heartbeat)
-        own = self._own_heartbeat()  # before lending, which changes the rates it is made from
+        own = self._own_heartbeat()  # built before lending, which changes its rates
         response = msgspec.structs.replace(own, lent_write_rate=self._lend(heartbeat))
         return json_response(200, msgspec.to_builtins(response))
 
     async def run(self) -> None:
-        """Send heartbeats to all siblings for as long as the process lives."""
+        """Send heartbeats to all siblings until cancelled."""
         await asyncio.gather(*(self._send_heartbeats(sibling) for sibling in self._siblings))
 
     async def _send_heartbeats(self, sibling: Sibling) -> None:
@@ -113,7 +113,7 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _send_heartbeat(self, sibling: Sibling) -> None:
-        """Send one heartbeat and record the response, if it is a success."""
+        """Send one heartbeat, and record the response if its status is 200."""
         body = msgspec.to_builtins(self._own_heartbeat())
         requested_at = asyncio.get_running_loop().time()
         reply = await self._request(
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -1,4 +1,4 @@
-"""Heartbeats from siblings, well-formed and malformed, and how they are answered."""
+"""PeerMonitor: well-formed and malformed heartbeats, and the responses to them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     raise NoResponseError("refused", request_sent=False)
 
 
-def monitor_of(received: list[PeerHeartbeat], request: Request = refuse) -> PeerMonitor:
+def make_monitor(received: list[PeerHeartbeat], request: Request = refuse) -> PeerMonitor:
     sibling = Sibling("n1", "n1:2", "a")
     return PeerMonitor((sibling,), request, lambda: PeerHeartbeat("n0", 3), received.append)
 
@@ -28,9 +28,9 @@
     [b"", b"[]", b"null", b'{"epoch":1}', b'{"node":7}', b'{"node":"n1","epoch":"x"}'],
     ids=["empty", "list", "null", "no node", "node no string", "epoch no number"],
 )
-def test_malformed_heartbeats_are_400_and_change_nothing(body: bytes) -> None:
+def test_malformed_heartbeats_get_400_and_are_not_recorded(body: bytes) -> None:
     received: list[PeerHeartbeat] = []
-    monitor = monitor_of(received)
+    monitor = make_monitor(received)
     response = play(monitor.handle("POST", body))
     assert response.status == 400
     assert b"error" in response.body
@@ -38,11 +38,11 @@
     assert not monitor.last_received
 
 
-def test_a_heartbeat_is_answered_with_ours_and_ages() -> None:
+def test_a_heartbeat_is_answered_with_the_own_epoch_and_expires() -> None:
     received: list[PeerHeartbeat] = []
 
     async def scenario() -> None:
-        monitor = monitor_of(received)
+        monitor = make_monitor(received)
         body = orjson.dumps({"node": "n1", "epoch": 4, "state_ok": True, "later_field": 1})
         response = await monitor.handle("POST", body)
         assert response.status == 200
@@ -55,7 +55,7 @@
     play(scenario())
 
 
-def test_heartbeats_go_on_after_refusals_and_malformed_responses() -> None:
+def test_heartbeats_continue_after_failed_and_malformed_responses() -> None:
     replies: list[ClientResponse | NoResponseError] = [
         NoResponseError("refused", request_sent=False),
         ClientResponse(200, b"{"),
@@ -70,7 +70,7 @@
         return reply
 
     async def scenario() -> None:
-        task = asyncio.ensure_future(monitor_of(received, request).run())
+        task = asyncio.ensure_future(make_monitor(received, request).run())
         await asyncio.sleep(3.5)
         task.cancel()
 
--- a/petrelthread/store/client.py
+++ b/petrelthread/store/client.py
@@ -33,16 +33,16 @@
 
 REQUEST_TIMEOUT_S = 1.0
 LIST_TIMEOUT_S = 3.0
-WATCH_MARGIN_S = 1.0  # beyond the time for which the service may hold a watch open
+WATCH_MARGIN_S = 1.0  # of the request timeout beyond a watch's wait time
 PAGE_SIZE = 1000  # keys on one page of a listing
-ERROR_EXCERPT_BYTES = 200  # of a refusal's body, kept in the error's message
+ERROR_EXCERPT_BYTES = 200  # of a 400 response's body, quoted in the error's message
 
 
 def _decode(body: bytes, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        # A garbled answer proves nothing about what was done.
+        # A malformed response does not show whether the request was carried out.
         raise StateResultUnknownError(f"garbled answer: {error}") from error
 
 
@@ -52,10 +52,10 @@
 
 
 class StateClient:
-    """Calls to the state service within the rates that this controller may use.
+    """Client of the state service that keeps to this controller's share of its rate limits.
 
-    Every call that is not urgent takes one token of ``request_bucket``; a transaction takes one
-    token of ``write_bucket`` for each operation besides.
+    Each call takes one token of ``request_bucket`` unless stated otherwise; a transaction also
+    takes one token of ``write_bucket`` for each operation.
 
     Each method raises ``StateUnavailableError`` if the request was certainly not carried out, and
     ``StateResultUnknownError`` if that is not known.
@@ -63,8 +63,8 @@
     Attributes:
         request_bucket: limits all requests.
         write_bucket: limits written keys.
-        rate_limited_at: event loop time of the latest answer 429; minus infinity before the first.
-        write_rate_limited: whether a transaction with operations was ever answered with 429.
+        rate_limited_at: event loop time of the latest 429 response; minus infinity if none.
+        write_rate_limited: whether a transaction with operations ever got a 429 response.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         write_bucket: TokenBucket,
         lease_request: Request | None = None,
     ) -> None:
-        """Create a client; no connection is made.
+        """Create a client without sending anything.
 
         Args:
             request: sends a request.
@@ -99,10 +99,10 @@
         target: str,
         body: dict[str, Any] | None = None,
         timeout: float = REQUEST_TIMEOUT_S,
-        urgent: bool = False,
+        skip_rate_limit: bool = False,
         request: Request | None = None,
     ) -> ClientResponse:
-        if not urgent:
+        if not skip_rate_limit:
             await self.request_bucket.acquire()
         request = request or self._request
         try:
@@ -123,7 +123,7 @@
 
         Args:
             prefix: of the keys.
-            after: last key of the page before; None for the first page.
+            after: last key of the previous page; None for the first page.
         """
         target = f"/keys?prefix={quote(prefix)}&limit={PAGE_SIZE}"
         if after is not None:
@@ -133,21 +133,23 @@
         return _decode(reply.body, protocol.KeyPage)
 
     async def watch(
-        self, prefix: str, after: int, wait_s: float, urgent: bool = False
+        self, prefix: str, after: int, wait_s: float, skip_rate_limit: bool = False
     ) -> protocol.WatchResponse | None:
         """Wait for changes of the keys with a prefix.
 
         Args:
             prefix: of the keys.
             after: revision; later changes are returned.
-            wait_s: the service answers with no changes after this time; 0: at once.
-            urgent: takes no token of ``request_bucket``; the caller has taken one.
+            wait_s: the service responds without changes after this time; 0: at once.
+            skip_rate_limit: take no token of ``request_bucket``, because the caller has taken one.
 
         Returns:
             The changes, or None if the service no longer knows all changes since ``after``.
         """
         target = f"/watch?prefix={quote(prefix)}&from={after}&wait_ms={int(wait_s * 1000)}"
-        reply = await self._call("GET", target, timeout=wait_s + WATCH_MARGIN_S, urgent=urgent)
+        reply = await self._call(
+            "GET", target, timeout=wait_s + WATCH_MARGIN_S, skip_rate_limit=skip_rate_limit
+        )
         if reply.status == HTTPStatus.GONE:
             return None
         _expect_ok(reply)
@@ -188,13 +190,13 @@
         return _decode(reply.body, protocol.TransactionCommitted).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Create a lease that expires ``ttl_s`` seconds after its last renewal; returns its id."""
+        """Create a lease that expires ``ttl_s`` seconds after its last renewal; return its id."""
         reply = await self._call("POST", "/grants", {"life_ms": int(ttl_s * 1000)})
         _expect_ok(reply)
         return _decode(reply.body, protocol.LeaseGranted).lease_id
 
     async def renew_lease(self, lease_id: int, timeout: float) -> None:
-        """Renew a lease; takes no token of the buckets.
+        """Renew a lease, without taking a token of a bucket.
 
         Raises:
             LeaseExpiredError: it has expired.
@@ -204,7 +206,7 @@
             f"/grants/{lease_id}/extend",
             {},
             timeout=timeout,
-            urgent=True,
+            skip_rate_limit=True,
             request=self._lease_request,
         )
         if reply.status == HTTPStatus.NOT_FOUND:
@@ -212,5 +214,5 @@
         _expect_ok(reply)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease now; the keys tied to it are deleted. Its answer's status is ignored."""
+        """Revoke a lease, which deletes the keys tied to it. The response's status is ignored."""
         await self._call("DELETE", f"/grants/{lease_id}")
--- a/petrelthread/store/errors.py
+++ b/petrelthread/store/errors.py
@@ -12,7 +12,7 @@
 
 
 class StateRateLimitedError(StateUnavailableError):
-    """Refused (429) because the request rate is too high; the request can be sent again soon."""
+    """Refused (429) because the request rate is too high; the request may be retried soon."""
 
 
 class StateRejectedError(StateUnavailableError):
@@ -20,7 +20,7 @@
 
 
 class StateResultUnknownError(StateServiceError):
-    """The request may have been carried out, or may still be: no usable answer arrived."""
+    """The request may have been or may still be carried out: no usable response arrived."""
 
 
 class TransactionConflictError(StateServiceError):
--- a/petrelthread/store/test_client.py
+++ b/petrelthread/store/test_client.py
@@ -1,4 +1,4 @@
-"""Errors of the state service client: which answers prove that a request was not carried out."""
+"""Errors of the state service client: which responses prove that a request was not carried out."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.virtual import play
 
 
-def client_that_gets(outcome: ClientResponse | NoResponseError) -> StateClient:
+def client_receiving(outcome: ClientResponse | NoResponseError) -> StateClient:
     async def request(*args: object, **kwargs: object) -> ClientResponse:
         if isinstance(outcome, NoResponseError):
             raise outcome
@@ -55,17 +55,17 @@
         ),
     ],
 )
-def test_the_error_of_a_transaction_shows_whether_it_may_have_been_applied(
+def test_transaction_error_shows_whether_it_may_have_been_applied(
     outcome: ClientResponse | NoResponseError, error: type[StateServiceError]
 ) -> None:
     with pytest.raises(error):
-        play(client_that_gets(outcome).transact([], [protocol.PutOperation("pt/a", 1)]))
+        play(client_receiving(outcome).transact([], [protocol.PutOperation("pt/a", 1)]))
 
 
-def test_an_expired_lease_differs_from_an_outage() -> None:
+def test_lease_calls_distinguish_expiry_outage_and_unknown_result() -> None:
     with pytest.raises(LeaseExpiredError):
-        play(client_that_gets(ClientResponse(404, b"{}")).renew_lease(7, 1.0))
+        play(client_receiving(ClientResponse(404, b"{}")).renew_lease(7, 1.0))
     with pytest.raises(StateUnavailableError):
-        play(client_that_gets(ClientResponse(503, b"{}")).renew_lease(7, 1.0))
+        play(client_receiving(ClientResponse(503, b"{}")).renew_lease(7, 1.0))
     with pytest.raises(StateResultUnknownError):
-        play(client_that_gets(ClientResponse(200, b"[]")).grant_lease(3.0))
+        play(client_receiving(ClientResponse(200, b"[]")).grant_lease(3.0))
--- a/petrelthread/store/test_token_bucket.py
+++ b/petrelthread/store/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""TokenBucket: waiting, debt, and changes of the rate."""
+"""TokenBucket: waiting, a negative level, and changes of the rate."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         bucket = TokenBucket(rate=10.0, burst=2.0)
-        began = loop.time()
+        started_at = loop.time()
         waited = []
         for _ in range(4):
             await bucket.acquire()
-            waited.append(loop.time() - began)
+            waited.append(loop.time() - started_at)
         assert waited == pytest.approx([0.0, 0.0, 0.1, 0.2])
         assert bucket.total_acquired == 4.0
 
     play(main())
 
 
-def test_an_amount_above_the_burst_passes_and_delays_the_next() -> None:
+def test_an_amount_above_the_burst_is_granted_and_delays_the_next() -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
         bucket = TokenBucket(rate=10.0, burst=2.0)
-        began = loop.time()
+        started_at = loop.time()
         await bucket.acquire(7.0)
-        assert loop.time() - began == pytest.approx(0.5)
+        assert loop.time() - started_at == pytest.approx(0.5)
         assert bucket.wait_time_s(loop.time()) == pytest.approx(0.1)
 
     play(main())
 
 
-def test_time_before_a_change_of_the_rate_counts_at_the_old_rate() -> None:
+def test_refill_before_a_rate_change_uses_the_old_rate() -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
         bucket = TokenBucket(rate=1.0, burst=10.0)
@@ -62,7 +62,7 @@
         pytest.param(8.0, True, False, id="nearly all taken"),
     ],
 )
-def test_the_level_shows_the_demand(taken: float, is_low: bool, is_full: bool) -> None:
+def test_is_low_and_is_full_show_the_demand(taken: float, is_low: bool, is_full: bool) -> None:
     async def main() -> None:
         now = asyncio.get_running_loop().time()
         bucket = TokenBucket(rate=1.0, burst=10.0)
--- a/petrelthread/store/test_write_quota.py
+++ b/petrelthread/store/test_write_quota.py
@@ -1,4 +1,4 @@
-"""WriteQuota: loans between controllers never exceed the limit, whatever is lost or delayed."""
+"""WriteQuota: with loans, all rates stay within the limit if messages are lost or delayed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DelayedLoan(NamedTuple):
-    """A loan's answer on its way to the borrower."""
+    """The response that grants a loan, in transit to the borrower."""
 
     arrives_at: float
     borrower: str
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_the_rates_of_all_controllers_stay_within_the_limit(seed: int) -> None:
-    """Random base rates, needs and clocks; answers to requests for loans are lost or late."""
+    """Random base rates, needs and clock rates; responses to loan requests are lost or delayed."""
     randomness = random.Random(seed)
     names = ["a", "b", "c", "d", "e"][: randomness.choice([3, 5])]
     base_rates = {name: (6.0 if name == "a" else 4.0 / (len(names) - 1)) for name in names}
@@ -51,7 +51,7 @@
         assert sum(rates.values()) <= sum(base_rates.values()) + 1e-6, (seed, step, rates)
         assert min(rates.values()) > 0
         lent = lent or any(rates[name] > base_rates[name] + 0.2 for name in names)
-    assert lent  # else the limit would have been kept by lending nothing
+    assert lent  # otherwise the limit holds only because nothing was lent
 
 
 def test_a_loan_raises_the_borrowers_rate_until_it_expires() -> None:
@@ -60,8 +60,8 @@
     busy.record_loan("idle", rate, 9.9)
     assert rate == 2.0
     assert (busy.rate(10.0), idle.rate(10.0)) == (8.0, 2.0)
-    assert idle.lend("busy", 9.0, 1.9, 11.0) == pytest.approx(0.2)  # it needs more itself now,
-    assert idle.rate(11.0) == 2.0  # but the borrower may still use the first loan
+    assert idle.lend("busy", 9.0, 1.9, 11.0) == pytest.approx(0.2)  # the lender needs more now
+    assert idle.rate(11.0) == 2.0  # the borrower may still use the first loan
     assert busy.rate(9.9 + LOAN_DURATION_S) == 6.0
     assert idle.rate(14.1) == 4.0
 
--- a/petrelthread/store/token_bucket.py
+++ b/petrelthread/store/token_bucket.py
@@ -1,4 +1,4 @@
-"""Rate limiting of outgoing requests."""
+"""Token buckets that limit the rate of outgoing requests."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class TokenBucket:
-    """A token bucket: ``rate`` tokens a second flow in, up to ``burst`` tokens.
+    """A token bucket, refilled with ``rate`` tokens per second up to ``burst`` tokens.
 
-    The level may become negative: ``acquire`` takes its tokens at once and then sleeps until the
-    debt is paid, so that callers are served in order and no amount is too large.
+    The level may become negative: ``acquire`` takes its tokens at once and then sleeps until they
+    are refilled, so that callers proceed in order and an amount may exceed the burst.
 
     Attributes:
-        rate: tokens a second; change it with ``set_rate``.
-        burst: most tokens that the bucket holds, at least 1.
+        rate: tokens per second; change it with ``set_rate``.
+        burst: maximum level, at least 1.
         total_acquired: tokens taken since the start.
     """
 
@@ -33,7 +33,7 @@
         self._refilled_at = now
 
     async def acquire(self, amount: float = 1.0) -> None:
-        """Take tokens and wait until the bucket covers them."""
+        """Take tokens at once, then wait until the level is no longer negative."""
         loop = asyncio.get_running_loop()
         self._refill(loop.time())
         self._level -= amount
@@ -42,7 +42,7 @@
             await asyncio.sleep(-self._level / self.rate)
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate from ``now`` on; the time before counts at the old rate."""
+        """Change the rate from ``now`` on; the refill until then is at the old rate."""
         self._refill(now)
         self.rate = rate
 
@@ -51,21 +51,21 @@
         self._level = min(self.burst, self._level + amount)
 
     def available(self, now: float, reserved_share: float) -> int:
-        """How many whole tokens can be taken and leave ``reserved_share`` of the burst."""
+        """How many whole tokens can be taken such that ``reserved_share`` of the burst remains."""
         self._refill(now)
         return max(0, int(self._level - self.burst * reserved_share))
 
     def is_low(self, now: float) -> bool:
-        """Whether demand exceeds the rate, so that few tokens are left."""
+        """Whether few tokens are left, because demand exceeds the rate."""
         self._refill(now)
         return self._level < self.burst * LOW_LEVEL_SHARE
 
     def is_full(self, now: float) -> bool:
-        """Whether nearly nothing was taken recently."""
+        """Whether most tokens are left, because few were taken recently."""
         self._refill(now)
         return self._level > self.burst * FULL_LEVEL_SHARE
 
     def wait_time_s(self, now: float) -> float:
-        """Seconds that a request for one token made now would wait."""
+        """Seconds that ``acquire`` of one token would wait now."""
         self._refill(now)
         return max(0.0, (1.0 - self._level) / self.rate)
--- a/petrelthread/store/watch_cache.py
+++ b/petrelthread/store/watch_cache.py
@@ -1,4 +1,4 @@
-"""A copy of the keys in the state service, kept up to date by a watch and refreshed on demand."""
+"""Follows the keys in the state service by a watch, and refreshes them on demand."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 log = logging.getLogger(__name__)
 
 KEY_PREFIX = "pt/"  # of all keys of the scheduler in the state service
-WATCH_TIMEOUT_S = 10.0  # the service answers a watch without changes after this time
+WATCH_TIMEOUT_S = 10.0  # the service responds to a watch without changes after this time
 FOLLOW_RETRY_S = 0.3  # after a failed watch or reload
 
 Listener = Callable[[str, Any, int], None]
-"""Takes a key without prefix, its value (None: deleted) and the revision of the change."""
+"""Called with a key without prefix, its value (None: deleted) and the revision of the change."""
 
 
 class _Snapshot(NamedTuple):
-    """All keys, read page by page."""
+    """All keys and values, read page by page."""
 
     values: dict[str, tuple[Any, int]]  # value and revision by key without prefix
     revision: int  # of the first page: later changes may be missing from the values
@@ -34,11 +34,11 @@
     Attributes:
         poll_interval_s: pause between two watches.
         revisions: revision of the last change by key without prefix; deleted keys are absent.
-        revision: the listener has had all changes up to this revision.
+        revision: the listener was called for all changes up to this revision.
         loaded: set once all keys have been read.
-        current_as_of: event loop time; the listener has had every change made until then. It
-            is the start of the newest completed read: changes made during a read may be missing
-            from its answer.
+        current_as_of: event loop time; the listener was called for all changes made until then.
+            It is when the newest completed read started, since its response may lack changes made
+            during the read.
     """
 
     def __init__(self, client: StateClient, listener: Listener, poll_interval_s: float) -> None:
@@ -50,13 +50,13 @@
         self.loaded = asyncio.Event()
         self.current_as_of = float("-inf")
         self._running_refresh: asyncio.Task[bool] | None = None
-        self._next_refresh: asyncio.Task[bool] | None = None  # has not begun to read
+        self._next_refresh: asyncio.Task[bool] | None = None  # has not started to read
 
     async def load(self) -> None:
         """Read all keys and notify the listener of what differs from the cache.
 
-        A watch may run at the same time and show newer changes. What is older than those is
-        skipped, and the revision never decreases.
+        A concurrent watch may deliver newer changes. Older ones in the snapshot are then skipped,
+        and the revision never decreases.
 
         Raises:
             StateUnavailableError, StateResultUnknownError: a page could not be read; the
@@ -64,7 +64,7 @@
         """
         started_at = asyncio.get_running_loop().time()
         snapshot = await self._read_all_keys()
-        notified_revision = self.revision  # may have been raised by a watch during the read
+        notified_revision = self.revision  # a watch may have raised it during the read
         for key, revision in list(self.revisions.items()):
             if key not in snapshot.values and revision <= snapshot.revision:
                 self._notify(key, None, snapshot.revision)
@@ -88,9 +88,9 @@
                 return _Snapshot(values, first_revision)
             last = page.items[-1].key if page.items else ""
             if last <= (after or ""):
-                # An incomplete snapshot would delete the missing keys from the cache.
+                # Applying an incomplete snapshot would delete the missing keys.
                 raise StateResultUnknownError(
-                    f"page after {after!r} goes no further, though more is to come"
+                    f"page after {after!r} goes no further, although it says that more follow"
                 )
             after = last
 
@@ -102,7 +102,7 @@
         self._listener(key, value, revision)
 
     def _apply(self, response: protocol.WatchResponse) -> None:
-        # Two watches may be open at once, so changes up to the known revision are skipped.
+        # Two watches may be open at once, so changes that were already applied are skipped.
         for change in response.changes:
             if change.revision <= self.revision:
                 continue
@@ -112,11 +112,11 @@
                 self._notify(change.deleted_key[len(KEY_PREFIX) :], None, change.revision)
         self.revision = max(self.revision, response.revision)
 
-    async def _catch_up(self, wait_s: float, urgent: bool = False) -> None:
+    async def _catch_up(self, wait_s: float, skip_rate_limit: bool = False) -> None:
         started_at = asyncio.get_running_loop().time()
-        response = await self._client.watch(KEY_PREFIX, self.revision, wait_s, urgent)
+        response = await self._client.watch(KEY_PREFIX, self.revision, wait_s, skip_rate_limit)
         if response is None:
-            log.info("state: watch too old, reading all keys again")
+            log.info("state: watched revision is too old, reading all keys again")
             await self.load()
             return
         self._apply(response)
@@ -136,13 +136,13 @@
                 await asyncio.sleep(FOLLOW_RETRY_S)
 
     async def refresh(self) -> bool:
-        """Catch up with all changes made before this call.
+        """Apply all changes made before this call.
 
-        Concurrent callers share one read. A read serves only callers that asked before it began,
-        so one may be running while the next one collects callers.
+        Concurrent callers share one read. Only callers from before its start may rely on it, so
+        later callers share the next read, which starts when the running one ends.
 
         Returns:
-            False if the keys are not loaded yet or the service did not answer.
+            False if the keys are not loaded yet or the read failed.
         """
         if self._next_refresh is None:
             self._next_refresh = asyncio.create_task(self._refresh_after(self._running_refresh))
@@ -156,8 +156,8 @@
         if not self.loaded.is_set():
             return False
         try:
-            await self._catch_up(0.0, urgent=True)
+            await self._catch_up(0.0, skip_rate_limit=True)
         except (StateUnavailableError, StateResultUnknownError) as error:
-            log.debug("state: fresh read failed: %s", error)
+            log.debug("state: refresh failed: %s", error)
             return False
         return True
