--- a/petrelthread/fleet/heartbeat_reconciler.py
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -163,6 +163,6 @@
             reason = "its lease expired although its heartbeats were answered"
         machine.partition_reason = reason
         if reason and not before:
-            log.info("machine %s: asymmetric partition suspected: %s", machine.name, reason)
+            log.info("machine %s: one-way partition suspected: %s", machine.name, reason)
         elif before and not reason:
-            log.info("machine %s: asymmetric partition no longer suspected", machine.name)
+            log.info("machine %s: one-way partition over", machine.name)
