--- a/petrelthread/provisioning/__init__.py
+++ b/petrelthread/provisioning/__init__.py
@@ -1,4 +1,4 @@
-"""Provisioning: how many machines of which kind are needed, and the calls to the cloud."""
+"""Provisioning: plans how many machines of which type are needed, and calls the cloud."""
 
 from petrelthread.provisioning.cloud import (
     CloudClient,
--- a/petrelthread/provisioning/boot_monitor.py
+++ b/petrelthread/provisioning/boot_monitor.py
@@ -1,4 +1,4 @@
-"""Machines that take too long to boot."""
+"""Detection of machines that take too long to boot."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from petrelthread.provisioning.demand import LATE_BOOT_FACTOR
 from petrelthread.settings import Settings
 
-LOST_BOOT_FACTOR = 2.5  # times the usual boot time: later than that, a machine is scaled in
-LOST_BOOT_LIST_LAGS = 2.0  # and not before so many lags of the cloud's list beyond the usual time
-UNKNOWN_TYPE_BOOT_S = 60.0  # usual boot time if the machine type is unknown
-LEADER_DISCOVERY_S = 5.0  # that a worker may take to find a new leader, besides two reports
+BOOT_TIMEOUT_FACTOR = 2.5  # multiple of the usual boot time after which a machine is scaled in
+BOOT_TIMEOUT_LIST_LAGS = 2.0  # minimum time beyond the usual boot time, in lags of the cloud's list
+UNKNOWN_TYPE_BOOT_S = 60.0  # assumed boot time if the machine type is unknown
+LEADER_DISCOVERY_S = 5.0  # time to find a new leader, in addition to two heartbeat intervals
 
 
 class BootMonitor:
-    """Tells machines that are late to boot from those that are lost."""
+    """Detects machines that are late to boot, and those whose boot has timed out."""
 
     def __init__(
         self, settings: Settings, fleet: Fleet, machine_types: dict[int, protocol.MachineType]
@@ -22,36 +22,38 @@
         self._fleet = fleet
         self._machine_types = machine_types
         self._list_lag_s = settings.cluster.cloud.list_lag_s
-        # Until then, a machine that is up may not have reported to a new leader yet.
-        self._first_report_s = 2 * settings.cluster.workers.report_s + LEADER_DISCOVERY_S
+        # Time within which machines that are up send their first heartbeat to a new leader.
+        self._first_heartbeat_s = 2 * settings.cluster.workers.report_s + LEADER_DISCOVERY_S
 
     def is_late(self, machine: Machine, now: float) -> bool:
-        """Whether the machine boots for so long that it does not count as capacity any more.
+        """Whether the machine boots for so long that it no longer counts as capacity.
 
-        To a new leader an idle machine looks like a booting one until it reports, so it does not
-        count as late before that.
+        A new leader cannot tell an idle machine from a booting one before the machine's first
+        heartbeat, so no machine counts as late until that heartbeat could have arrived.
         """
         machine_type = self._machine_types.get(machine.machine_type)
         return (
             machine_type is not None
             and machine.health is Health.BOOTING
             and now - machine.rented_at > LATE_BOOT_FACTOR * machine_type.boot_s
-            and now - machine.registered_at > self._first_report_s
+            and now - machine.registered_at > self._first_heartbeat_s
         )
 
     def late_count(self, now: float) -> int:
-        """How many machines are late."""
+        """Number of machines that are late to boot."""
         return sum(self.is_late(machine, now) for machine in self._fleet.machines.values())
 
-    def is_lost(self, machine: Machine, now: float) -> bool:
-        """Whether the machine boots for so long that it should be scaled in."""
+    def has_timed_out(self, machine: Machine, now: float) -> bool:
+        """Whether the machine boots for so long that it is to be scaled in."""
         if machine.health is not Health.BOOTING:
             return False
         machine_type = self._machine_types.get(machine.machine_type)
         boot_s = machine_type.boot_s if machine_type else UNKNOWN_TYPE_BOOT_S
-        limit_s = max(LOST_BOOT_FACTOR * boot_s, boot_s + LOST_BOOT_LIST_LAGS * self._list_lag_s)
+        timeout_s = max(
+            BOOT_TIMEOUT_FACTOR * boot_s, boot_s + BOOT_TIMEOUT_LIST_LAGS * self._list_lag_s
+        )
         return (
-            now - machine.rented_at > limit_s
+            now - machine.rented_at > timeout_s
             and now - machine.registered_at > boot_s
-            and now - self._fleet.resumed_at > self._first_report_s
+            and now - self._fleet.resumed_at > self._first_heartbeat_s
         )
--- a/petrelthread/provisioning/catalog.py
+++ b/petrelthread/provisioning/catalog.py
@@ -11,11 +11,11 @@
 log = logging.getLogger(__name__)
 
 CATALOG_INTERVAL_S = 60.0
-FIRST_CATALOG_INTERVAL_S = 1.0  # until the catalogue is known
+FIRST_CATALOG_INTERVAL_S = 1.0  # while the catalogue is unknown
 
 
 class MachineCatalog:
-    """Machine types by their interned index, read from the cloud from time to time."""
+    """Machine types by interned index, read periodically from the cloud."""
 
     def __init__(self, cloud: CloudClient, names: InternedNames) -> None:
         self._cloud = cloud
@@ -30,16 +30,16 @@
             self.machine_types[index] = machine_type
 
     def known_types(self) -> tuple[protocol.MachineType, ...] | None:
-        """All machine types, or None until the catalogue is known."""
+        """All machine types, or None while the catalogue is unknown."""
         return tuple(self.machine_types.values()) or None
 
     async def read(self, now: float) -> bool:
-        """Read the catalogue if that is due. Returns whether it is known."""
+        """Read the catalogue if a read is due. Returns whether it is known."""
         interval_s = CATALOG_INTERVAL_S if self.machine_types else FIRST_CATALOG_INTERVAL_S
         if now - self._read_at >= interval_s:
             self._read_at = now
             try:
                 self.update(await self._cloud.catalog())
             except CloudError as error:
-                log.info("cloud: no catalogue: %s", error)
+                log.info("cloud: reading the catalogue failed: %s", error)
         return bool(self.machine_types)
--- a/petrelthread/provisioning/cloud.py
+++ b/petrelthread/provisioning/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud. Refused, unanswered and unreadable calls raise different errors."""
+"""Client of the cloud. The error type tells whether a failed call may have been carried out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 4.0
-NO_CAPACITY_TEXT = b"no capacity"  # tells a refusal for lack of machines from other refusals
+NO_CAPACITY_TEXT = b"no capacity"  # distinguishes a 503 for lack of machines from other 503s
 REFUSED_STATUSES = (
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.SERVICE_UNAVAILABLE,
@@ -24,7 +24,7 @@
 
 
 class CloudError(Exception):
-    """A call to the cloud has no result."""
+    """A call to the cloud failed, or its outcome is unknown."""
 
 
 class CloudUnavailableError(CloudError):
@@ -32,15 +32,15 @@
 
 
 class CloudResultUnknownError(CloudError):
-    """The call may have been carried out, or may still be."""
+    """The call may have been carried out, or may be carried out later."""
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no machine of this type, zone and kind. Nothing was scaled out."""
+    """The cloud has no capacity for this offer. No machine was scaled out."""
 
 
 class CloudClient:
-    """Typed calls to the cloud, within a budget of calls.
+    """Typed calls to the cloud, limited by a token bucket of calls.
 
     Every call raises ``CloudUnavailableError`` or ``CloudResultUnknownError`` if it fails.
     """
@@ -72,20 +72,20 @@
         count: int,
         call_acquired: bool = False,
     ) -> tuple[str, ...]:
-        """Scale out up to ``count`` machines, and return the names of those that the cloud gave.
+        """Scale out by up to ``count`` machines, and return the names of those granted.
 
         A repeated request with the same idempotency key returns the same machines.
 
         Args:
             idempotency_key: Identifies the request.
             machine_type: Name in the catalogue.
-            zone: Where the machines should be.
-            spot: Spot machines, or else on-demand ones.
-            count: How many.
-            call_acquired: The call has been charged to the budget already.
+            zone: Zone of the machines.
+            spot: Request spot machines instead of on-demand ones.
+            count: Maximum number of machines.
+            call_acquired: The call is already charged to the budget.
 
         Raises:
-            NoCapacityError: The cloud has no such machine at present.
+            NoCapacityError: The cloud has no capacity for the offer at present.
         """
         body = protocol.scale_out_request(idempotency_key, machine_type, zone, spot, count)
         reply = await self._call("POST", protocol.MACHINES_PATH, body, call_acquired=call_acquired)
@@ -99,7 +99,7 @@
         """All machines, read page by page.
 
         Raises:
-            CloudResultUnknownError: The pages do not make up a whole list.
+            CloudResultUnknownError: The pages do not form a complete list.
         """
         found: list[protocol.ListedMachine] = []
         after = ""
@@ -114,9 +114,9 @@
                 return found
             last = page.machines[-1].name if page.machines else ""
             if last <= after:
-                # An incomplete list must not count as whole: missing machines would seem gone.
+                # Refuse an incomplete list: machines missing from it would be quarantined.
                 raise CloudResultUnknownError(
-                    f"page after {after!r} goes no further, though more is to come"
+                    f"page after {after!r} goes no further, although more pages are announced"
                 )
             after = last
 
@@ -144,4 +144,4 @@
         try:
             return msgspec.json.decode(body, type=kind)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise CloudResultUnknownError(f"garbled answer: {error}") from error
+            raise CloudResultUnknownError(f"malformed response: {error}") from error
--- a/petrelthread/provisioning/context.py
+++ b/petrelthread/provisioning/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the provisioner share."""
+"""Collaborators shared by the parts of the provisioner."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Leadership(Protocol):
-    """Whether this controller may act."""
+    """Tells whether this controller may act as the leader."""
 
     @property
     def is_leader(self) -> bool:
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProvisioningContext:
-    """Collaborators that most parts of the provisioner need."""
+    """Collaborators that most parts of the provisioner use."""
 
     settings: Settings
     cluster_state: ClusterState
--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -13,28 +13,28 @@
 from petrelthread.scheduling import ClusterView
 from petrelthread.state import Job
 
-EXPECTED_MACHINES_PER_ZONE = 2  # of the smallest type, for job classes not seen yet,
-EXPECTED_MACHINES = 4  # and at least as many in all zones together
-LATE_BOOT_FACTOR = 1.6  # times the usual boot time: later than that, a machine is no capacity
-MAX_PROBED_MACHINES = 6  # a job that failed on more and completed nothing gets no new machine
-UNKNOWN_BOOT_S = 30.0  # boot time until the catalogue is known
-MAX_RUN_PROGRESS = 0.9  # share of its expected run time that a running task may have behind it
+EXPECTED_MACHINES_PER_ZONE = 2  # machines of the smallest type kept for an unseen urgent job class
+EXPECTED_MACHINES = 4  # minimum of such machines in all zones together
+LATE_BOOT_FACTOR = 1.6  # multiple of the usual boot time after which a machine is no capacity
+MAX_PROBED_MACHINES = 6  # a suspect job (nothing completed) that failed on more gets no machine
+UNKNOWN_BOOT_S = 30.0  # assumed boot time while the catalogue is unknown
+MAX_RUN_PROGRESS = 0.9  # maximum share of its expected run time that a running task counts as done
 
 
 class TeamQuota:
-    """What a team's limit leaves to its jobs that come later in the order."""
+    """The part of a team's limit that is left for its jobs later in the job order."""
 
     def __init__(self, cores: float, accelerators: float) -> None:
         self._cores = cores
         self._accelerators = accelerators
 
     def take(self, job: Job, tasks: int) -> None:
-        """Reduce what is left by tasks of the job."""
+        """Reduce the remaining quota by tasks of the job."""
         self._cores -= tasks * job.cores
         self._accelerators -= tasks * job.accelerators
 
     def fitting_tasks(self, job: Job, tasks: int) -> int:
-        """How many of the job's tasks may run at once."""
+        """How many of ``tasks`` of the job fit into the remaining quota."""
         if job.cores > 0:
             tasks = min(tasks, int((self._cores + CORES_EPSILON) / job.cores))
         if job.accelerators > 0:
@@ -43,7 +43,10 @@
 
 
 class DemandForecast:
-    """Demands of the jobs that are known, and reserves for those that may arrive."""
+    """Demands of the accepted jobs, and reserves for jobs that may arrive.
+
+    A job is urgent if its class has an objective for the time to start.
+    """
 
     def __init__(
         self,
@@ -59,16 +62,16 @@
         self._zones_down = zones_down
         self._urgent_arrivals = Arrivals()
         self._service_arrivals = Arrivals(ramping=True)
-        # Objectives for the time to start, by job class.
+        # The shortest objective for the time to start, by job class.
         self._start_within_s: dict[int, float] = {}
         for objective in context.settings.cluster.objectives:
             if objective.kind == "wait":
                 index = self._cluster_state.names.job_classes.index(objective.jobclass)
-                soonest = self._start_within_s.get(index, objective.within_s)
-                self._start_within_s[index] = min(soonest, objective.within_s)
+                shortest_s = self._start_within_s.get(index, objective.within_s)
+                self._start_within_s[index] = min(shortest_s, objective.within_s)
 
     def fail_over(self, now: float) -> None:
-        """Start from the services that arrived under earlier leaders."""
+        """Restore the arrivals of services from the jobs accepted under earlier leaders."""
         wall_clock_s = time.time()
         arrivals = [
             (now - (wall_clock_s - job.accepted_at), job.task_count * job.cores)
@@ -78,28 +81,28 @@
         self._service_arrivals = Arrivals(arrivals, ramping=True)
 
     def note_accepted(self, job: Job, now: float) -> None:
-        """Count a job that has just been accepted for what is to be expected."""
+        """Record the arrival of a newly accepted job if it is a service or urgent."""
         if job.is_service:
             self._service_arrivals.record(now, job.task_count * job.cores)
         elif job.job_class in self._start_within_s:
             self._urgent_arrivals.record(now, job.task_count * job.cores)
 
     def urgent_reserve(self, now: float) -> float:
-        """Cores that jobs which must start soon are likely to ask for within a boot time."""
+        """Cores that urgent jobs are likely to request within a boot time."""
         return self._urgent_arrivals.expected_cores(now, self._max_boot_s())
 
     def standing_reserve(self, now: float) -> float:
-        """Cores for replicas of services that are likely to arrive or to be lost."""
+        """Cores for replicas of services that may arrive, and of those in a lost zone."""
         return standing_reserve(
             self._service_arrivals,
             now,
             self._max_boot_s(),
             self._zone_spread_cores(),
-            len(self._open_zones()),
+            len(self._reachable_zones()),
         )
 
     def demands(self, now: float) -> list[Demand]:
-        """Demands of all open jobs in the order in which they are served."""
+        """Demands expected of urgent job classes, then those of all open jobs in job order."""
         quotas = [TeamQuota(team.most_cores, team.most_accelerators) for team in self._view.teams]
         demands = self._expected_demands()
         for entry in self._view.job_order():
@@ -118,15 +121,15 @@
         return demands
 
     def _unfinished_tasks(self, job: Job, now: float) -> int:
-        """Tasks that machines may be scaled out for."""
+        """Number of unfinished tasks for which machines may be scaled out."""
         unfinished = (
             job.task_count - job.done_count - len(self._fleet.finished_tasks.get(job.index, ()))
         )
         if now < job.retry_at:
             return 0
         if self._fleet.job_failures.is_suspect(job) and unfinished > 0:
-            # It is tried on the machines that are up. Only the first few tries may ask for another
-            # machine, in case there is none and the failures were not the job's fault.
+            # A suspect job is retried on machines that are up. Only its first few attempts may
+            # demand another machine, in case none is up and the job did not cause the failures.
             failed_on = len(self._fleet.job_failures.failed_on(job))
             return 0 if failed_on > MAX_PROBED_MACHINES else 1
         return unfinished
@@ -134,7 +137,7 @@
     def _array_demand(
         self, job: Job, tasks: int, unfinished: int, due_at: float, now: float
     ) -> Demand:
-        """The demand of one job array, with the work that its tasks have left."""
+        """The demand of one job array, with the remaining work of its tasks."""
         run_s = self._view.estimates.run_s(job)
         work_s = unfinished * run_s - sum(job.checkpointed_s.values())
         for attempt in job.live_attempts.values():
@@ -151,11 +154,11 @@
             zone=job.zone,
             spot_allowed=job.spot_allowed,
             has_pending=job.pending_count > 0,
-            no_goal=not self._view.has_objectives(job),
+            best_effort=not self._view.has_objectives(job),
         )
 
     def _service_demands(self, job: Job) -> list[Demand]:
-        """Standing demands for all replicas of a service, one in each zone that it is spread to."""
+        """Standing demands for all replicas of a service, one for each zone that they need."""
         return [
             Demand(
                 tasks=tasks,
@@ -174,12 +177,12 @@
         ]
 
     def _replicas_by_zone(self, job: Job) -> dict[int | None, int]:
-        """How many replicas need capacity in which zone; None stands for any zone."""
-        zones = self._open_zones()
+        """Number of replicas that need capacity, by zone; None means any zone."""
+        zones = self._reachable_zones()
         if not job.spread_zones or job.zone is not None or not zones:
             return {job.zone: job.task_count}
         zone_count = len(zones)
-        # Rotated by job, so that surplus replicas do not all fall into the same zone.
+        # Rotated by job index, so that extra replicas of different jobs are in different zones.
         return {
             zones[(rank + job.index) % zone_count]: (job.task_count + zone_count - 1 - rank)
             // zone_count
@@ -187,10 +190,10 @@
         }
 
     def _expected_demands(self) -> list[Demand]:
-        """Some on-demand capacity in each zone for urgent job classes without any job so far.
+        """On-demand capacity in each zone, if an urgent job class has had no job so far.
 
-        Urgent classes must start before a booting machine counts as late. Until their first job
-        arrives it is not known whether they accept spot machines.
+        It applies to classes whose jobs must start before a booting machine counts as late. Until
+        the first job arrives, it is unknown whether the class accepts spot machines.
         """
         if not self._cluster_state.open_jobs or not self._has_unseen_urgent_class():
             return []
@@ -199,10 +202,10 @@
             key=lambda machine_type: (machine_type.cores, machine_type.on_demand_price),
         )
         names = self._cluster_state.names.zones
-        share_of_all = math.ceil(EXPECTED_MACHINES / max(1, len(smallest.zones)))
+        min_per_zone = math.ceil(EXPECTED_MACHINES / max(1, len(smallest.zones)))
         return [
             Demand(
-                tasks=max(EXPECTED_MACHINES_PER_ZONE, share_of_all),
+                tasks=max(EXPECTED_MACHINES_PER_ZONE, min_per_zone),
                 work_s=0.0,
                 deadline_in_s=0.0,
                 cores=smallest.cores,
@@ -218,12 +221,12 @@
         ]
 
     def _has_unseen_urgent_class(self) -> bool:
-        """Whether some job class must start before a machine counts as late, and has no job yet."""
-        boots = (machine_type.boot_s for machine_type in self._machine_types.values())
-        late_s = LATE_BOOT_FACTOR * min(boots, default=0.0)
-        seen = {job.job_class for job in self._cluster_state.jobs}
+        """Whether a class without any job must start before a booting machine counts as late."""
+        boot_times_s = (machine_type.boot_s for machine_type in self._machine_types.values())
+        late_s = LATE_BOOT_FACTOR * min(boot_times_s, default=0.0)
+        seen_classes = {job.job_class for job in self._cluster_state.jobs}
         return any(
-            within_s <= late_s and index not in seen
+            within_s <= late_s and index not in seen_classes
             for index, within_s in self._start_within_s.items()
         )
 
@@ -239,10 +242,10 @@
         )
 
     def _max_boot_s(self) -> float:
-        boots = (machine_type.boot_s for machine_type in self._machine_types.values())
-        return max(boots, default=UNKNOWN_BOOT_S)
+        boot_times_s = (machine_type.boot_s for machine_type in self._machine_types.values())
+        return max(boot_times_s, default=UNKNOWN_BOOT_S)
 
-    def _open_zones(self) -> list[int]:
+    def _reachable_zones(self) -> list[int]:
         names = self._cluster_state.names.zones
         types = self._machine_types.values()
         zones = {names.index(zone) for machine_type in types for zone in machine_type.zones}
--- a/petrelthread/provisioning/list_reconciliation.py
+++ b/petrelthread/provisioning/list_reconciliation.py
@@ -15,9 +15,9 @@
 
 
 class ListReconciler:
-    """Reads the list from time to time, and notes which machines are new, have failed or are gone.
+    """Reads the list periodically, and records which machines are new, failed or missing.
 
-    Instants are those of the event loop's clock at which a list was requested.
+    Times are those of the event loop's clock at which a list was requested.
     """
 
     def __init__(self, context: ProvisioningContext) -> None:
@@ -33,7 +33,7 @@
 
     @property
     def never_read(self) -> bool:
-        """No list has been requested since this controller became the leader."""
+        """Whether no list has been requested since this controller became the leader."""
         return self._last_read_at == float("-inf")
 
     def is_due(self, now: float) -> bool:
@@ -41,12 +41,12 @@
         return now - self._last_read_at >= LIST_INTERVAL_S
 
     async def reconcile(self, now: float) -> None:
-        """Read the list and apply it to the fleet. Without an answer nothing changes."""
+        """Read the list and apply it to the fleet, which does not change if the call fails."""
         self._last_read_at = now
         try:
             listed = await self._cloud.list_machines()
         except CloudError as error:
-            log.info("cloud: no list: %s", error)
+            log.info("cloud: listing the machines failed: %s", error)
             return
         self.last_success_at = now
         for entry in listed:
@@ -59,7 +59,7 @@
         unrecorded = self._fleet.find(entry.name) is None
         machine = self._fleet.get_or_add(entry.name, now)
         if unrecorded:
-            log.info("machine %s is listed without a record", entry.name)
+            log.info("machine %s is in the cloud's list but has no record", entry.name)
             machine.rented_at = now - entry.age_s
         machine.listed = True
         machine.address = machine.address or entry.address
@@ -68,14 +68,14 @@
         machine.spot = entry.spot
         if entry.status == protocol.MACHINE_FAILED and not machine.quarantine_reason:
             machine.quarantine_reason = "listed as failed"
-            log.info("machine %s has failed", machine.name)
+            log.info("machine %s is listed as failed", machine.name)
 
     @staticmethod
     def _check_presence(machine: Machine, listed_names: set[str]) -> None:
         missing = machine.listed and machine.name not in listed_names
         machine.missing_from_lists = machine.missing_from_lists + 1 if missing else 0
-        # One list without the machine is no proof: lists may be older than the one before.
-        gone = machine.missing_from_lists > 1 and not machine.quarantine_reason
-        if gone and machine.health not in (Health.TERMINATED, Health.TERMINATING, Health.UP):
+        # A single list without the machine is no evidence: it may be older than the list before.
+        unlisted = machine.missing_from_lists > 1 and not machine.quarantine_reason
+        if unlisted and machine.health not in (Health.TERMINATED, Health.TERMINATING, Health.UP):
             machine.quarantine_reason = "no longer listed"
-            log.info("machine %s is gone from the list", machine.name)
+            log.info("machine %s is no longer in the cloud's list", machine.name)
--- a/petrelthread/provisioning/offer_backoff.py
+++ b/petrelthread/provisioning/offer_backoff.py
@@ -1,4 +1,4 @@
-"""Back-off from offers of the cloud that had no capacity."""
+"""Backoff from offers of the cloud that lacked capacity."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class _Backoff(NamedTuple):
-    until: float  # instant of the event loop's clock
-    pause_s: float
+    until: float  # time of the event loop's clock
+    delay_s: float
 
 
 _NONE = _Backoff(0.0, 0.0)
@@ -20,7 +20,7 @@
 
 
 class OfferBackoff:
-    """Remembers the cloud's answers by offer. Each refused offer has its own back-off."""
+    """Records the cloud's responses by offer. Each refused offer has its own backoff."""
 
     def __init__(self) -> None:
         self._backoffs: dict[OfferKey, _Backoff] = {}
@@ -28,35 +28,35 @@
         self._tried: set[OfferKey] = set()
 
     def record_refusal(self, offer: OfferKey, now: float) -> None:
-        """The offer gave less than was asked for: do not ask again until the back-off ends."""
+        """Start a backoff of the offer, which gave fewer machines than requested."""
         self._tried.add(offer)
-        last_pause_s = self._backoffs.get(offer, _BEFORE_FIRST).pause_s
-        pause_s = min(MAX_BACKOFF_S, last_pause_s * 2)
-        self._backoffs[offer] = _Backoff(now + pause_s, pause_s)
+        last_delay_s = self._backoffs.get(offer, _BEFORE_FIRST).delay_s
+        delay_s = min(MAX_BACKOFF_S, last_delay_s * 2)
+        self._backoffs[offer] = _Backoff(now + delay_s, delay_s)
         self._filled.discard(offer)
 
     def record_grant(self, offer: OfferKey) -> None:
-        """The offer gave all that was asked for."""
+        """Record that the offer gave all requested machines, and end its backoff."""
         self.reset(offer)
         self._filled.add(offer)
         self._tried.add(offer)
 
     def was_tried(self, offer: OfferKey) -> bool:
-        """Whether the offer has answered before."""
+        """Whether the offer has responded before."""
         return offer in self._tried
 
     def reset(self, offer: OfferKey) -> None:
-        """End the back-off, for example because a machine of the offer was scaled in."""
+        """End the backoff, for example because a machine of the offer was scaled in."""
         self._backoffs.pop(offer, None)
 
     def last_filled(self, offer: OfferKey) -> bool:
-        """Whether the last answer gave all that was asked for."""
+        """Whether the last response gave all requested machines."""
         return offer in self._filled
 
     def is_available(self, offer: OfferKey, now: float) -> bool:
-        """Whether the offer may be asked now."""
+        """Whether the offer has no active backoff."""
         return now >= self._backoffs.get(offer, _NONE).until
 
     def active(self, now: float) -> list[OfferKey]:
-        """The offers that must not be asked now."""
+        """The offers with an active backoff."""
         return [offer for offer, backoff in self._backoffs.items() if backoff.until > now]
--- a/petrelthread/provisioning/operations.py
+++ b/petrelthread/provisioning/operations.py
@@ -1,4 +1,4 @@
-"""Recorded scale-out and scale-in operations whose outcome may have to be settled."""
+"""Recorded scale-out and scale-in operations, whose outcome may be unknown."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from petrelthread.provisioning.context import RecordCleanup
 from petrelthread.state import ClusterState, KeyKind, OperationState, ScaleOutRecord, transition
 
-RETRY_INTERVAL_S = 1.5  # until an operation with unknown outcome is sent again
+RETRY_INTERVAL_S = 1.5  # before an operation with unknown outcome is sent again
 
 
 class CloudOperation:
     """One call to the cloud that is recorded in the state service before it is sent.
 
-    Instants are those of the event loop's clock.
+    Times are those of the event loop's clock.
     """
 
     __slots__ = ("idempotency_key", "in_flight", "retry_at", "state", "unknown_at")
@@ -26,7 +26,7 @@
     def __init__(self, idempotency_key: str, state: OperationState) -> None:
         self.idempotency_key = idempotency_key
         self.state = state
-        self.unknown_at = 0.0  # since when the outcome is unknown
+        self.unknown_at = 0.0  # when the outcome became unknown
         self.retry_at = 0.0
         self.in_flight = False
 
@@ -37,7 +37,7 @@
 
 
 class ScaleOutOperation(CloudOperation):
-    """A request for new machines. Confirmed ones stay as long as their machines."""
+    """A request for new machines. A confirmed one is kept until its machines are scaled in."""
 
     __slots__ = ("record",)
 
@@ -49,7 +49,7 @@
 
 
 class ScaleInOperation(CloudOperation):
-    """A request to take machines back."""
+    """A request to terminate machines."""
 
     __slots__ = ("machine_names",)
 
@@ -63,7 +63,7 @@
 
 
 class OperationRegistry:
-    """The operations of this leader and of its predecessors, in step with their records."""
+    """Operations of this leader and earlier ones, kept consistent with their records."""
 
     def __init__(self, cluster_state: ClusterState, fleet: Fleet, cleanup: RecordCleanup) -> None:
         self._cluster_state = cluster_state
@@ -73,12 +73,12 @@
         self.by_store_key: dict[str, ScaleOutOperation | ScaleInOperation] = {}
 
     def next_idempotency_key(self) -> str:
-        """A key that no operation has had: the leader's epoch and a serial number."""
+        """A new unique key: the leader's epoch and a serial number."""
         self._serial += 1
         return f"{self._fleet.epoch}-{self._serial}"
 
     def fail_over(self, now: float) -> None:
-        """Take over the recorded operations of earlier leaders."""
+        """Load the recorded operations of earlier leaders."""
         self.by_store_key.clear()
         self._serial = 0
         for idempotency_key, record in self._cluster_state.scale_out_records.items():
@@ -109,12 +109,12 @@
         self._cluster_state.scale_in_records[operation.idempotency_key] = names
 
     def update_record(self, operation: ScaleOutOperation, record: ScaleOutRecord) -> None:
-        """Replace an operation's record here; the caller writes it to the state service."""
+        """Replace an operation's record in memory; the caller writes it to the state service."""
         operation.record = record
         self._cluster_state.scale_out_records[operation.idempotency_key] = record
 
     def remove(self, operation: ScaleOutOperation | ScaleInOperation) -> None:
-        """Forget an operation; the caller deletes its record from the state service."""
+        """Remove an operation from memory; the caller deletes its record from the state service."""
         self.by_store_key.pop(operation.store_key, None)
         if isinstance(operation, ScaleOutOperation):
             self._cluster_state.scale_out_records.pop(operation.idempotency_key, None)
@@ -122,12 +122,12 @@
             self._cluster_state.scale_in_records.pop(operation.idempotency_key, None)
 
     def discard(self, operation: ScaleOutOperation) -> None:
-        """Forget a scale-out without effect, and have its record deleted with the next clean-up."""
+        """Remove a scale-out without machines, and have the next clean-up delete its record."""
         self.remove(operation)
         self._cleanup.obsolete_keys.append(operation.store_key)
 
     def confirmed_scale_outs(self) -> list[ScaleOutOperation]:
-        """Scale-outs whose machines are known."""
+        """Scale-outs whose granted machines are known."""
         return [
             operation
             for operation in self.by_store_key.values()
@@ -138,14 +138,14 @@
     def register_machines(
         self, operation: ScaleOutOperation, names: Collection[str], now: float
     ) -> None:
-        """Add the machines that a scale-out gave to the fleet."""
+        """Add the machines granted to a scale-out to the fleet."""
         record = operation.record
-        interned = self._cluster_state.names
+        interned_names = self._cluster_state.names
         for name in names:
             machine = self._fleet.get_or_add(name, now)
             if not machine.scale_out_key:
                 machine.scale_out_key = operation.store_key
-                machine.machine_type = interned.machine_types.index(record.machine_type)
-                machine.zone = interned.zones.index(record.zone)
+                machine.machine_type = interned_names.machine_types.index(record.machine_type)
+                machine.zone = interned_names.zones.index(record.zone)
                 machine.spot = record.spot
                 machine.rented_at = now - max(0.0, time.time() - record.requested_at)
--- a/petrelthread/provisioning/plan.py
+++ b/petrelthread/provisioning/plan.py
@@ -1,4 +1,4 @@
-"""Data types of provisioning plans: what is needed, owned and offered, and what is decided."""
+"""Data types of provisioning plans: demands, owned machines, offers and decisions."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
     """Options that operators may change. Times are in seconds."""
 
     spot_drain_s: float = 30.0  # add spot machines until the backlog drains in this time
-    on_demand_drain_s: float = 120.0  # add on-demand machines until it drains in this time
-    patient_drain_s: float = 600.0  # the same for jobs without deadline and objective
+    on_demand_drain_s: float = 120.0  # add on-demand machines until the backlog drains in this time
+    patient_drain_s: float = 600.0  # on_demand_drain_s for jobs without deadline or objective
     due_share: float = 0.7  # share of the time to a deadline that the work may take
-    due_least_s: float = 45.0  # deadlines nearer than this are planned as if this far away
-    keep_share: float = 0.35  # keep running on-demand machines until this share of the times holds
-    on_demand_fill: float = 0.5  # share of an on-demand machine's cores that must be lacking
-    spot_idle_s: float = 20.0  # scale in a surplus spot machine after it idled this long
-    on_demand_idle_s: float = 2.0  # scale in a surplus on-demand machine after this
-    reserve_share: float = 0.5  # reserved share of the cores that urgent jobs lately asked for
+    due_least_s: float = 45.0  # lower bound on the time planned for work before a deadline
+    keep_share: float = 0.35  # factor on time limits that decide which on-demand machines to keep
+    on_demand_fill: float = 0.5  # share of an on-demand machine's cores that must be needed
+    spot_idle_s: float = 20.0  # idle timeout of surplus spot machines
+    on_demand_idle_s: float = 2.0  # idle timeout of surplus on-demand machines
+    reserve_share: float = 0.5  # share of the cores expected for urgent jobs to keep in reserve
 
 
 class OfferKey(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class Offer(NamedTuple):
-    """One machine type in one zone, as spot or on-demand, that may be asked for now."""
+    """One machine type in one zone, as spot or on-demand, that may be requested now."""
 
     machine_type: int
     zone: int
@@ -41,8 +41,8 @@
     ram_gb: float
     price: float  # per hour
     boot_s: float
-    last_filled: bool = False  # its last answer gave all that was asked for
-    tried: bool = True  # it has answered before
+    last_filled: bool = False  # its last response gave all requested machines
+    tried: bool = True  # it has responded before
 
     @property
     def key(self) -> OfferKey:
@@ -51,19 +51,19 @@
 
 
 class Demand(NamedTuple):
-    """Unfinished work of one job, as far as its team's quota lets it run at once."""
-
-    tasks: int  # that could run now, running ones included
-    work_s: float  # run time left in all unfinished tasks
-    deadline_in_s: float  # from now
-    cores: float  # of one task, as are accelerators and memory
-    accelerators: float
-    ram_gb: float
+    """Machines needed by one job, or by jobs that are expected."""
+
+    tasks: int  # that the quota lets run at once, running ones included
+    work_s: float  # remaining run time of all unfinished tasks
+    deadline_in_s: float  # time left until the deadline
+    cores: float  # per task
+    accelerators: float  # per task
+    ram_gb: float  # per task
     machine_types: frozenset[int] | None  # allowed ones; None for all
     zone: int | None
     spot_allowed: bool
     has_pending: bool = True  # some of its tasks are on no machine yet
-    no_goal: bool = False  # it has neither a deadline nor an objective
+    best_effort: bool = False  # without a deadline and without an objective
     standing: bool = False  # capacity for all tasks is kept at all times, as for replicas
 
 
@@ -78,7 +78,7 @@
     accelerators: float
     ram_gb: float
     price: float  # per hour
-    idle_s: float | None  # None while it works or boots
+    idle_s: float | None  # None while it has tasks or boots
     tasks: int
     occupied_cores: float = 0.0  # cores of running tasks whose jobs have no pending task
     replicas: int = 0  # of services
@@ -94,12 +94,12 @@
 
     @property
     def offer_key(self) -> OfferKey:
-        """The offer that is asked."""
+        """Identity of the requested offer."""
         return OfferKey(self.machine_type, self.zone, self.spot)
 
 
 class Plan(NamedTuple):
-    """What to change about the machines. Machines are given by index."""
+    """Changes to the fleet. Machines are given by index."""
 
     scale_outs: list[ScaleOutRequest]
     scale_ins: list[int]
--- a/petrelthread/provisioning/planner.py
+++ b/petrelthread/provisioning/planner.py
@@ -167,10 +167,10 @@
 ) -> float:
     """Cores that finish each job, and all that is due before it, in its time times the factor."""
     needed = work = 0.0
-    for demand in sorted(demands, key=lambda d: (d.no_goal, d.deadline_in_s)):
+    for demand in sorted(demands, key=lambda d: (d.best_effort, d.deadline_in_s)):
         work += demand.work_s * demand.cores
         due_s = max(options.due_least_s, demand.deadline_in_s * options.due_share)
-        drain_s = options.patient_drain_s if demand.no_goal else options.on_demand_drain_s
+        drain_s = options.patient_drain_s if demand.best_effort else options.on_demand_drain_s
         needed = max(needed, work / (min(due_s, drain_s) * time_factor))
     return needed
 
--- a/petrelthread/provisioning/scale_in_selection.py
+++ b/petrelthread/provisioning/scale_in_selection.py
@@ -67,12 +67,14 @@
         if machine.quarantine_reason:
             return machine.quarantine_reason
         if machine.health is Health.UNRESPONSIVE:
-            is_lost = machine.index in unresponsive or now > self._fleet.lease_expires_at(machine)
-            return "unresponsive" if is_lost else ""
+            may_terminate = machine.index in unresponsive or now > self._fleet.lease_expires_at(
+                machine
+            )
+            return "unresponsive" if may_terminate else ""
         if machine.health is Health.DRAINING:
             empty = machine.index not in self._cluster_state.attempts_by_machine
             return "drained before preemption" if self._is_preempted(machine) and empty else ""
-        return "did not boot in time" if self._boots.is_lost(machine, now) else ""
+        return "did not boot in time" if self._boots.has_timed_out(machine, now) else ""
 
     @staticmethod
     def _is_preempted(machine: Machine) -> bool:
--- a/petrelthread/provisioning/test_planner.py
+++ b/petrelthread/provisioning/test_planner.py
@@ -62,16 +62,16 @@
 
 
 def test_work_without_goal_gets_on_demand_machines_only_as_last_resort() -> None:
-    no_goal = demand(1600, 480_000.0)._replace(cores=1.0, ram_gb=1.8, no_goal=True)
+    best_effort = demand(1600, 480_000.0)._replace(cores=1.0, ram_gb=1.8, best_effort=True)
     spot = owned(300)
-    assert not plan_for([no_goal], spot, [ON_DEMAND]).scale_outs
-    assert plan_for([no_goal._replace(no_goal=False)], spot, [ON_DEMAND]).scale_outs
+    assert not plan_for([best_effort], spot, [ON_DEMAND]).scale_outs
+    assert plan_for([best_effort._replace(best_effort=False)], spot, [ON_DEMAND]).scale_outs
     # Without any spot machine it is served all the same.
     filled = ON_DEMAND._replace(last_filled=True)
-    assert 100 <= machines_in(plan_for([no_goal], [], [filled], max_calls=99)) <= 250
+    assert 100 <= machines_in(plan_for([best_effort], [], [filled], max_calls=99)) <= 250
     # The work of others with a goal comes first.
     urgent = demand(100, 2000.0, due_s=100.0)
-    assert plan_for([urgent, no_goal], [], [ON_DEMAND]).scale_outs
+    assert plan_for([urgent, best_effort], [], [ON_DEMAND]).scale_outs
 
 
 def test_on_demand_is_asked_only_after_short_answer_of_spot_offer() -> None:
