--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -14,7 +14,7 @@
 from petrelthread.state import Job
 
 EXPECTED_MACHINES_PER_ZONE = 2  # machines of the smallest type kept for an unseen urgent job class
-EXPECTED_MACHINES = 4  # minimum of such machines in all zones together
+EXPECTED_MACHINES = 4  # minimum number of machines for unseen urgent classes, in all zones
 LATE_BOOT_FACTOR = 1.6  # multiple of the usual boot time after which a machine is no capacity
 MAX_PROBED_MACHINES = 6  # a suspect job (nothing completed) that failed on more gets no machine
 UNKNOWN_BOOT_S = 30.0  # assumed boot time while the catalogue is unknown
--- a/petrelthread/provisioning/planner.py
+++ b/petrelthread/provisioning/planner.py
@@ -1,8 +1,8 @@
 """Provisioning decision as a pure function of demands, owned machines and offers.
 
-Spot capacity is scaled out as far as the backlog can use it for a short time. On-demand capacity is
-added only for work that spot machines cannot finish in time. Surplus machines are cordoned, and
-scaled in once they idle.
+Spot machines are scaled out until the backlog drains in a short time. On-demand machines are added
+only for work that spot machines cannot finish in time. Surplus machines are cordoned, and scaled in
+after an idle timeout.
 """
 
 from __future__ import annotations
@@ -21,10 +21,12 @@
     ScaleOutRequest,
 )
 
-DEFAULT_PRICE_RATIO = 2.2  # of an on-demand core's price to a spot core's
+DEFAULT_PRICE_RATIO = 2.2  # on-demand price over spot price of a core that the options assume
 UNTRIED_OFFER_YIELD = 0.5  # share of the request that an untried offer is expected to fill
-MAX_OVERSIZE = 2.0  # a machine with more times the lacking cores yields to cheaper smaller ones
-MIN_CORES = 1e-9  # divisor for machine types without cores
+MAX_OVERSIZE = (
+    2.0  # multiple of the lacking cores that a machine may have if smaller ones cost less
+)
+MIN_CORES = 1e-9  # avoids division by zero for machine types without cores
 
 
 def make_plan(
@@ -38,17 +40,17 @@
 ) -> Plan:
     """Decide which machines to scale out, to scale in and to cordon.
 
-    Demands with the fewest offers choose their machines first, the cheapest core first. Machines
-    that no demand needs are surplus.
+    Machines are assigned to standing demands first, then to those with the fewest offers, the
+    cheapest core first. Machines that no demand needs are surplus.
 
     Args:
         demands: Unfinished work by job.
         owned: Machines that are up or expected to boot.
-        offers: Offers without active back-off.
+        offers: Offers without active backoff.
         reserve_cores: Cores to keep for urgent jobs that are likely to arrive.
-        options: Operators' options.
+        options: Options set by operators.
         max_calls: Scale-out calls that may be made now.
-        standing_reserve: Cores to keep for replicas that are likely to arrive or to be lost.
+        standing_reserve: Cores to keep for replicas that may arrive, or be lost with a zone.
     """
     planner = _Planner(owned, offers, options, max_calls)
     groups = _ordered_groups(demands, offers)
@@ -66,7 +68,7 @@
 
 
 def tasks_per_machine(demand: Demand, machine: Offer | OwnedMachine) -> int:
-    """How many tasks of the demand an otherwise empty machine holds."""
+    """How many tasks of the demand fit on an otherwise empty machine."""
     if demand.machine_types is not None and machine.machine_type not in demand.machine_types:
         return 0
     if demand.zone is not None and machine.zone != demand.zone:
@@ -85,7 +87,7 @@
 
 
 class _DemandGroup(NamedTuple):
-    """Demands that the same machines can serve. The largest stands for the group."""
+    """Demands with equal constraints on machines, represented by the largest one."""
 
     representative: Demand
     demands: list[Demand]
@@ -102,7 +104,7 @@
 
 
 def _ordered_groups(demands: list[Demand], offers: list[Offer]) -> list[_DemandGroup]:
-    """Group demands by what machines they accept, those with the fewest choices first."""
+    """Group demands by constraints; standing ones first, then those with the fewest offers."""
     by_eligibility: dict[
         tuple[frozenset[int] | None, int | None, bool, bool, bool], list[Demand]
     ] = {}
@@ -134,7 +136,7 @@
 
     def __init__(self, representative: Demand) -> None:
         self._representative = representative
-        # Plain tuples, since building a NamedTuple for each lookup would slow down large plans.
+        # Keys are plain tuples: building a NamedTuple for each lookup would slow down large plans.
         self._cores: dict[tuple[int, int, bool], float] = {}
 
     def on(self, machine: Offer | OwnedMachine) -> float:
@@ -150,9 +152,9 @@
 def _on_demand_time_factor(
     offers: list[Offer], owned: list[OwnedMachine], usable: _UsableCores
 ) -> float:
-    """Factor by which a backlog may take longer before on-demand machines pay off.
+    """Factor by which a backlog may take longer before on-demand machines are worth their price.
 
-    It is the ratio of the on-demand price to the spot price over the ratio that the options assume.
+    It is the ratio of on-demand to spot price, divided by the ratio that the options assume.
     """
     machines: list[Offer | OwnedMachine] = [*offers, *owned]
     spot = [m.price / m.cores for m in machines if m.spot and usable.on(m) > 0]
@@ -165,7 +167,10 @@
 def _cores_to_finish_in_time(
     demands: list[Demand], options: ProvisioningOptions, time_factor: float = 1.0
 ) -> float:
-    """Cores that finish each job, and all that is due before it, in its time times the factor."""
+    """Cores that finish each job, and all jobs due before it, within its time limit.
+
+    ``time_factor`` multiplies every time limit.
+    """
     needed = work = 0.0
     for demand in sorted(demands, key=lambda d: (d.best_effort, d.deadline_in_s)):
         work += demand.work_s * demand.cores
@@ -176,12 +181,12 @@
 
 
 class _CoreTargets(NamedTuple):
-    """How many cores a group of demands should have."""
+    """Target numbers of cores for a group of demands."""
 
-    spot: float  # on spot machines, to keep the backlog short
-    on_demand: float  # in all, when spot machines fall short
-    retained_on_demand: float  # in all, before running on-demand machines become surplus
-    open: float  # on machines that accept new tasks
+    spot: float  # total, up to which spot machines (or the only allowed kind) are scaled out
+    on_demand: float  # total, up to which on-demand machines are scaled out if spot falls short
+    retained_on_demand: float  # total, up to which owned on-demand machines are not surplus
+    schedulable: float  # on machines that accept new tasks
 
 
 class _PricedOffer(NamedTuple):
@@ -191,7 +196,7 @@
 
 
 class _Planner:
-    """Assigns machines and scale-out calls to one group of demands after the other."""
+    """Assigns machines and scale-out calls to the groups of demands in turn."""
 
     def __init__(
         self,
@@ -210,8 +215,8 @@
                 machine.machine_index,
             ),
         )
-        # In the order in which they are assigned. A dict, since removal from a list of thousands
-        # of machines is slow.
+        # Ordered by preference for assignment. A dict, since removal from a list of thousands of
+        # machines is slow.
         self._unassigned = {machine.machine_index: machine for machine in preferred}
         self._scale_outs: list[ScaleOutRequest] = []
         self._owned = owned
@@ -220,7 +225,7 @@
         self._max_calls = max_calls
 
     def provision(self, group: _DemandGroup, reserve_cores: float) -> None:
-        """Assign owned machines to the group, and plan scale-outs for what it lacks."""
+        """Assign owned machines to the group, and plan scale-outs for the cores it lacks."""
         usable = _UsableCores(group.representative)
         targets = self._targets(group, reserve_cores, usable)
         spot_allowed = group.representative.spot_allowed
@@ -228,53 +233,57 @@
         self._plan_scale_outs(spot_allowed, targets, assigned_cores, usable)
 
     def finish(self, no_demand: bool, reserve_cores: float) -> Plan:
-        """The plan, with all machines that are not assigned to a group as surplus."""
+        """Return the plan. Machines that are not assigned to a group are surplus."""
         surplus = list(self._unassigned.values())
         if no_demand:
             surplus = _without_reserve(surplus, reserve_cores)
-        # A machine with replicas cannot be emptied, so it stays open for further replicas.
+        # Replicas do not finish, so their machine stays open for more replicas instead of draining.
         cordoned = {machine.machine_index for machine in surplus if not machine.replicas}
-        scale_ins = [machine.machine_index for machine in surplus if self._idled_out(machine)]
+        scale_ins = [
+            machine.machine_index for machine in surplus if self._idle_timeout_reached(machine)
+        ]
         return Plan(self._scale_outs, scale_ins, cordoned)
 
-    def _idled_out(self, machine: OwnedMachine) -> bool:
+    def _idle_timeout_reached(self, machine: OwnedMachine) -> bool:
         options = self._options
-        limit_s = options.spot_idle_s if machine.spot else options.on_demand_idle_s
-        return machine.idle_s is not None and machine.idle_s >= limit_s
+        timeout_s = options.spot_idle_s if machine.spot else options.on_demand_idle_s
+        return machine.idle_s is not None and machine.idle_s >= timeout_s
 
     def _targets(
         self, group: _DemandGroup, reserve_cores: float, usable: _UsableCores
     ) -> _CoreTargets:
-        """Core targets; the reserve comes on top of what the group could use now."""
+        """Core targets. The reserve is added to the cores that the group could use now."""
         options = self._options
         demands = group.demands
         usable_cores = group.usable_cores
-        # Only jobs with pending tasks need room for new ones. Room for all running tasks would keep
-        # the last long tasks spread over far more machines than they need.
-        open_cores = min(usable_cores, group.pending_cores) + reserve_cores
+        # Only jobs with pending tasks need cores for new tasks. A target for all running tasks
+        # would keep the last long tasks spread over far more machines than they need.
+        schedulable_cores = min(usable_cores, group.pending_cores) + reserve_cores
         if group.representative.standing:
             wanted = usable_cores + reserve_cores
-            return _CoreTargets(wanted, wanted, wanted, open_cores)
+            return _CoreTargets(wanted, wanted, wanted, schedulable_cores)
         time_factor = _on_demand_time_factor(self._offers, self._owned, usable)
         work = sum(d.work_s * d.cores for d in demands)
-        # Even a single long task needs its core.
-        least = min(usable_cores, max(d.cores for d in demands))
-        spot = max(least, min(usable_cores, work / options.spot_drain_s)) + reserve_cores
+        # A task needs all its cores, however little work is left.
+        min_cores = min(usable_cores, max(d.cores for d in demands))
+        spot = max(min_cores, min(usable_cores, work / options.spot_drain_s)) + reserve_cores
         in_time = _cores_to_finish_in_time(demands, options, time_factor)
-        on_demand = max(least, min(usable_cores, in_time))
-        in_less_time = _cores_to_finish_in_time(demands, options, time_factor * options.keep_share)
-        retained = max(min(usable_cores, in_less_time), on_demand)
-        return _CoreTargets(spot, on_demand, retained, open_cores)
+        on_demand = max(min_cores, min(usable_cores, in_time))
+        in_shorter_time = _cores_to_finish_in_time(
+            demands, options, time_factor * options.keep_share
+        )
+        retained = max(min(usable_cores, in_shorter_time), on_demand)
+        return _CoreTargets(spot, on_demand, retained, schedulable_cores)
 
     def _assign_owned(
         self, spot_allowed: bool, targets: _CoreTargets, usable: _UsableCores
     ) -> float:
         """Assign owned machines to a group, and return the cores that it has.
 
-        Machines beyond the target for open cores count as capacity, but stay unassigned: their
-        running tasks go on, and they get no new ones.
+        Machines beyond the target for schedulable cores count as capacity, but stay unassigned:
+        their running tasks continue, and they get no new ones.
         """
-        assigned_cores = open_cores = 0.0
+        assigned_cores = schedulable_cores = 0.0
         for machine in list(self._unassigned.values()):
             cores = usable.on(machine)
             if cores <= 0:
@@ -286,11 +295,14 @@
                     del self._unassigned[machine.machine_index]
                 continue
             assigned_cores += cores
-            if open_cores < targets.open - CORES_EPSILON and machine.occupied_cores < cores:
-                open_cores += cores - machine.occupied_cores
+            if (
+                schedulable_cores < targets.schedulable - CORES_EPSILON
+                and machine.occupied_cores < cores
+            ):
+                schedulable_cores += cores - machine.occupied_cores
                 del self._unassigned[machine.machine_index]
-        if open_cores < targets.open - CORES_EPSILON:
-            # There is less room than pending work: machines of ending jobs are needed after them.
+        if schedulable_cores < targets.schedulable - CORES_EPSILON:
+            # The pending work exceeds the free cores: machines of ending jobs are needed for it.
             for machine in list(self._unassigned.values()):
                 is_fallback = spot_allowed and not machine.spot
                 if not is_fallback and usable.on(machine) > 0:
@@ -304,7 +316,7 @@
         assigned_cores: float,
         usable: _UsableCores,
     ) -> None:
-        """Plan calls for what a group lacks, the cheapest core first."""
+        """Plan calls for the cores that a group lacks, the cheapest core first."""
         priced = self._priced_offers(usable)
         capped = False
         for _, offer, cores in priced:
@@ -313,8 +325,8 @@
             calls_left = self._max_calls - len(self._scale_outs)
             if lacking <= CORES_EPSILON or calls_left <= 0:
                 continue
-            # The limit on machines per call does not justify a more expensive offer: only a refusal
-            # or a short answer of the cheaper one does.
+            # A request that was capped by the limit on machines per call does not justify a more
+            # expensive offer; only a refusal or a partial grant by the cheaper one does.
             if is_fallback and (capped or lacking < self._options.on_demand_fill * cores):
                 continue
             if cores > MAX_OVERSIZE * lacking and _has_cheaper_smaller(priced, offer, cores):
@@ -328,7 +340,7 @@
             self._add_calls(offer, count)
 
     def _priced_offers(self, usable: _UsableCores) -> list[_PricedOffer]:
-        """Offers that a group can use, by price of a usable core."""
+        """Offers that a group can use, ordered by price of a usable core."""
         priced = []
         for offer in self._offers:
             cores = usable.on(offer)
@@ -347,14 +359,14 @@
 
 
 def _has_cheaper_smaller(priced: list[_PricedOffer], offer: Offer, cores: float) -> bool:
-    """Whether some smaller machine would supply the same cores for less in all."""
+    """Whether some smaller machine costs less than a machine of the offer."""
     return any(
         other.cores < cores and other.price_per_core * other.cores < offer.price for other in priced
     )
 
 
 def _without_reserve(machines: list[OwnedMachine], reserve_cores: float) -> list[OwnedMachine]:
-    """Drop spot machines that make up the reserve from the surplus, the cheapest first."""
+    """Remove spot machines that make up the reserve from the surplus, the cheapest first."""
     surplus = []
     for machine in machines:
         if machine.spot and reserve_cores > CORES_EPSILON:
--- a/petrelthread/provisioning/planning_input.py
+++ b/petrelthread/provisioning/planning_input.py
@@ -1,4 +1,4 @@
-"""Owned machines and available offers as the planner sees them."""
+"""Conversion of the fleet and the catalogue into the planner's input."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class PlanningInput:
-    """Converts the present fleet and catalogue into the planner's input."""
+    """Provides owned machines and available offers from the present fleet and catalogue."""
 
     def __init__(
         self,
         context: ProvisioningContext,
         machine_types: dict[int, protocol.MachineType],
         offer_backoff: OfferBackoff,
-        boots: BootMonitor,
+        boot_monitor: BootMonitor,
         zones_down: Collection[int],
     ) -> None:
         self._fleet = context.fleet
         self._names = context.cluster_state.names
         self._machine_types = machine_types
         self._offer_backoff = offer_backoff
-        self._boots = boots
+        self._boot_monitor = boot_monitor
         self._zones_down = zones_down
 
     def owned_machines(self, now: float) -> list[OwnedMachine]:
-        """Machines that are or will soon be capacity."""
+        """Machines that are up, or expected to boot in time."""
         owned = []
         for machine in self._fleet.machines.values():
             machine_type = self._machine_types.get(machine.machine_type)
@@ -40,7 +40,7 @@
         return owned
 
     def offers(self, now: float) -> list[Offer]:
-        """Offers in reachable zones that have no active back-off."""
+        """Offers in reachable zones that have no active backoff."""
         return [
             self._offer(key, machine_type, price)
             for key, machine_type, price in self._catalog_offers()
@@ -50,7 +50,7 @@
     def _is_capacity(self, machine: Machine, now: float) -> bool:
         if machine.quarantine_reason or machine.health not in (Health.UP, Health.BOOTING):
             return False
-        if self._boots.is_late(machine, now):
+        if self._boot_monitor.is_late(machine, now):
             return False
         return machine.health is Health.UP or machine.zone not in self._zones_down
 
@@ -88,7 +88,7 @@
         for index, machine_type in self._machine_types.items():
             for zone_name in machine_type.zones:
                 zone = self._names.zones.index(zone_name)
-                # Machines in a zone that is cut off would cost money without being reachable.
+                # Machines in an unreachable zone would cost money and run no tasks.
                 if zone not in self._zones_down:
                     yield OfferKey(index, zone, True), machine_type, machine_type.spot_price
                     yield OfferKey(index, zone, False), machine_type, machine_type.on_demand_price
@@ -104,6 +104,7 @@
             price,
             machine_type.boot_s,
             last_filled=self._offer_backoff.last_filled(key),
-            # Only the first scale-out asks untried offers together; later ones await answers.
+            # Untried offers are requested together only while there is no machine. Later scale-outs
+            # wait for the response of one offer before they request the next.
             tried=bool(self._fleet.machines) or self._offer_backoff.was_tried(key),
         )
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -1,4 +1,4 @@
-"""The leader's provisioning loop: it settles, plans, scales out and in, and reconciles."""
+"""The leader's provisioning step: resolves unknown operations, plans, scales, reconciles."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REPLANS = 10  # in one step
-CALL_BURST_S = 2.0  # one plan may contain the calls that the cloud takes in this time
+MAX_REPLANS = 10  # per step
+CALL_BURST_S = 2.0  # a plan may contain the calls that the rate limit allows in this time
 MIN_CALLS_PER_PLAN = 2
-RESEND_LIST_LAGS = 4.0  # a scale-out older than this many lags of the list, and
-RESEND_MARGIN_S = 5.0  # this margin, is not sent again
+RESEND_LIST_LAGS = 4.0  # age, in lags of the list, beyond which a scale-out is not sent again
+RESEND_MARGIN_S = 5.0  # added to the age given by RESEND_LIST_LAGS
 
 
 class Provisioner:
-    """Keeps the machines in line with the demand while this controller leads.
+    """Matches the machines to the demand while this controller is the leader.
 
     Attributes:
         machine_types: Catalogue by interned index of the machine type.
-        operations: Recorded calls to the cloud by the key of their record.
-        offer_backoff: The cloud's answers by offer.
+        operations: Recorded calls to the cloud, by store key.
+        offer_backoff: Backoff and last response by offer.
         forecast: Present and expected demand.
         scale_out: Carries out scale-outs.
         scale_in: Carries out scale-ins.
         scale_in_selection: Selects machines to scale in.
         last_plan_duration_s: How long the last plan took.
-        wake: Set to have the next step begin at once.
+        wake: Set to start the next step at once.
     """
 
     def __init__(
@@ -56,10 +56,10 @@
         options: Callable[[], ProvisioningOptions],
         zones_down: Collection[int] = (),
     ) -> None:
-        """Compose the parts.
+        """Create the parts.
 
-        ``options`` returns the operators' present options. ``zones_down`` holds the zones that are
-        cut off; it is read live.
+        ``options`` returns the options that operators have set. ``zones_down`` contains the
+        unreachable zones; it may change at any time.
         """
         self._cluster_state = context.cluster_state
         self._fleet = context.fleet
@@ -74,13 +74,13 @@
         self.operations = self._operations.by_store_key
         self.offer_backoff = OfferBackoff()
         self.forecast = DemandForecast(context, view, self.machine_types, zones_down)
-        self._boots = BootMonitor(context.settings, context.fleet, self.machine_types)
+        self._boot_monitor = BootMonitor(context.settings, context.fleet, self.machine_types)
         self._planning_input = PlanningInput(
-            context, self.machine_types, self.offer_backoff, self._boots, zones_down
+            context, self.machine_types, self.offer_backoff, self._boot_monitor, zones_down
         )
         self.scale_out = ScaleOutExecutor(context, self._operations, self.offer_backoff)
         self.scale_in = ScaleInExecutor(context, self._operations, self.offer_backoff)
-        self.scale_in_selection = ScaleInSelection(context, self._boots)
+        self.scale_in_selection = ScaleInSelection(context, self._boot_monitor)
         self._reconciler = ListReconciler(context)
         self.last_plan_duration_s = 0.0
         self.wake = asyncio.Event()
@@ -90,38 +90,38 @@
         self._catalog.update(catalog)
 
     def catalog(self) -> tuple[protocol.MachineType, ...] | None:
-        """All machine types, or None until the catalogue is known."""
+        """All machine types, or None while the catalogue is unknown."""
         return self._catalog.known_types()
 
     async def read_catalog(self, now: float) -> bool:
-        """Read the catalogue if that is due. Returns whether it is known.
+        """Read the catalogue if a read is due. Returns whether it is known.
 
-        Followers call it as well, since they need machine types to validate submissions.
+        Followers call this as well, since they need machine types to validate submissions.
         """
         return await self._catalog.read(now)
 
     def late_boot_count(self, now: float) -> int:
-        """How many machines are late to boot."""
-        return self._boots.late_count(now)
+        """Number of machines that are late to boot."""
+        return self._boot_monitor.late_count(now)
 
     def fail_over(self, now: float) -> None:
-        """Begin as the new leader, from the stored records."""
+        """Load the stored records as the new leader."""
         self._operations.fail_over(now)
         self._reconciler.fail_over()
         self.forecast.fail_over(now)
 
     async def step(self, now: float) -> None:
-        """Settle unknown operations, plan, carry out the plan, and reconcile with the list."""
+        """Resolve unknown operations, plan, carry out the plan, and reconcile with the list."""
         await self.read_catalog(now)
         if self._reconciler.never_read and (
             self._cluster_state.scale_out_records or self._fleet.machines
         ):
-            # The list gives a new leader the addresses of the workers.
+            # A new leader gets the workers' addresses from the list.
             await self._reconciler.reconcile(now)
-        await self._settle(now)
+        await self._resolve_unknown(now)
         if not self.machine_types or not self._leadership.is_leader:
             return
-        # Replicas are placed elsewhere once their machine's scale-in is confirmed: so it is first.
+        # Scale-ins with replicas are first: replicas move only after the confirmation.
         await self.scale_in.execute_all(self.scale_in_selection.unresponsive_with_replicas(), now)
         plan = self.plan_now(now)
         for machine in self._fleet.machines.values():
@@ -132,7 +132,7 @@
             await self._reconciler.reconcile(asyncio.get_running_loop().time())
 
     def plan_now(self, now: float) -> Plan:
-        """What to change as things stand. Makes no change itself."""
+        """Make a plan from the present state, without carrying it out."""
         clock = asyncio.get_running_loop().time
         started_at = clock()
         plan = self._plan(now)
@@ -155,9 +155,9 @@
         )
 
     async def _scale_out(self, plan: Plan, now: float) -> float:
-        """Scale out, and plan again while offers come short. Returns when the last plan was made.
+        """Scale out, and plan again while offers fall short. Returns the time of the last plan.
 
-        What one offer does not give is thereby asked from the next one at once.
+        Machines that one offer does not give are thus requested from the next one at once.
         """
         requests = plan.scale_outs
         for _ in range(MAX_REPLANS):
@@ -169,8 +169,8 @@
             requests = self.plan_now(now).scale_outs
         return now
 
-    async def _settle(self, now: float) -> None:
-        """Repeat or give up operations whose outcome is unknown."""
+    async def _resolve_unknown(self, now: float) -> None:
+        """Resend or supersede operations whose outcome is unknown."""
         for operation in list(self.operations.values()):
             if not self._leadership.is_leader:
                 return
@@ -178,19 +178,19 @@
             if not is_unknown or operation.in_flight or now < operation.retry_at:
                 continue
             if isinstance(operation, ScaleOutOperation):
-                await self._settle_scale_out(operation, now)
+                await self._resolve_scale_out(operation, now)
             else:
                 await self.scale_in.send(operation, now)
 
-    async def _settle_scale_out(self, operation: ScaleOutOperation, now: float) -> None:
+    async def _resolve_scale_out(self, operation: ScaleOutOperation, now: float) -> None:
         age_s = max(now - operation.unknown_at, time.time() - operation.record.requested_at)
         is_old = age_s > self._resend_limit_s
         if self._cluster_state.open_jobs and not is_old:
-            # Idempotent: sent again, it gives the same machines.
+            # The idempotency key makes a repeated request return the same machines.
             await self.scale_out.send(operation, now)
         elif is_old and self._reconciler.last_success_at > operation.unknown_at:
-            # No longer needed, or the plan has asked anew for what it should have given. Sent again
-            # it could scale out surplus machines. What it still gives will show in the list.
+            # Its machines are no longer needed, or later plans have requested replacements. Sending
+            # it again could scale out surplus machines. Machines that it gave appear in the list.
             log.info(
                 "operation superseded: scale-out %s, no longer needed", operation.idempotency_key
             )
--- a/petrelthread/provisioning/reserve.py
+++ b/petrelthread/provisioning/reserve.py
@@ -4,34 +4,34 @@
 
 from collections.abc import Iterable
 
-WINDOW_S = 90.0  # only arrivals within this time count
-MIN_SPAN_S = 30.0  # a single arrival is not taken for a higher rate than one in this time
-SLOW_BOOT_S = 10.0  # that a machine may take beyond its usual boot time
-NEXT_TO_LARGEST = 2.0  # services as large as the largest recent one that may arrive during a boot
-MIN_ZONES_TO_MOVE = 3  # with fewer zones, replicas of a lost zone cannot move to the others
+WINDOW_S = 90.0  # older arrivals do not count
+MIN_SPAN_S = 30.0  # shortest time for a ramping rate: a single arrival counts as one in this time
+BOOT_MARGIN_S = 10.0  # time beyond its usual boot time that a machine may take
+LARGEST_SERVICE_FACTOR = 2.0  # services of the largest recent size that may arrive during a boot
+MIN_ZONES_TO_RELOCATE = 3  # with fewer, replicas of a lost zone cannot be placed in the others
 
 
 class Arrivals:
-    """Cores that recently accepted jobs of some kind ask for."""
+    """Cores requested by recently accepted jobs of one kind."""
 
     def __init__(self, arrivals: Iterable[tuple[float, float]] = (), ramping: bool = False) -> None:
         """Start from earlier arrivals.
 
         Args:
-            arrivals: Instant and cores of each job.
-            ramping: Arrivals begin at some moment and go on from there, so their rate is taken over
-                the time since the first one instead of the whole window.
+            arrivals: Time and cores of each job.
+            ramping: Take the rate over the time since the first arrival instead of the whole
+                window, for arrivals that begin at some time and then continue.
         """
         self._arrivals = list(arrivals)
         self._ramping = ramping
 
     def record(self, now: float, cores: float) -> None:
-        """Count an arrival."""
+        """Record an arrival."""
         self._arrivals.append((now, cores))
 
     def expected_cores(self, now: float, boot_s: float) -> float:
-        """Cores likely to be asked for while a machine boots, at the present rate."""
-        return self._cores_per_s(now) * (boot_s + SLOW_BOOT_S)
+        """Cores likely to be requested while a machine boots, at the present rate."""
+        return self._cores_per_s(now) * (boot_s + BOOT_MARGIN_S)
 
     def largest_cores(self, now: float) -> float:
         """Cores of the largest recent job; 0 without any."""
@@ -56,14 +56,14 @@
 def zone_loss_reserve(spread_cores: float, zones: int) -> float:
     """Cores that the other zones need if one of ``zones`` is lost.
 
-    With two zones left, half of a service's replicas may be in each. With fewer, no reserve is
-    kept: the zone that is left already has all the replicas that it may have.
+    At most half of a service's replicas may be in one zone. With fewer than two zones
+    left, no reserve is kept: the last zone already has all the replicas that it may have.
 
     Args:
         spread_cores: Cores of the services that are spread over all zones.
         zones: How many zones are up.
     """
-    if zones < MIN_ZONES_TO_MOVE:
+    if zones < MIN_ZONES_TO_RELOCATE:
         return 0.0
     return spread_cores / (zones - 1)
 
@@ -73,8 +73,8 @@
 ) -> float:
     """Cores to keep for replicas of services that may arrive, and of those in a lost zone.
 
-    It is the sum of both, since services go on arriving while machines boot for the lost ones.
+    It is the sum of both, since services keep arriving while replacement machines boot.
     """
     arriving = services.expected_cores(now, boot_s)
-    likely = max(arriving, NEXT_TO_LARGEST * services.largest_cores(now))
+    likely = max(arriving, LARGEST_SERVICE_FACTOR * services.largest_cores(now))
     return likely + zone_loss_reserve(spread_cores, zones)
--- a/petrelthread/provisioning/scale_in.py
+++ b/petrelthread/provisioning/scale_in.py
@@ -24,12 +24,12 @@
 
 log = logging.getLogger(__name__)
 
-RECORD_SIZE_SHARE = 0.8  # of the largest value that the state service takes
+RECORD_SIZE_SHARE = 0.8  # of the largest value that the state service accepts
 NAME_OVERHEAD_BYTES = 3  # quotes and comma around a name in a JSON list
 
 
 class ScaleInExecutor:
-    """Carries out scale-ins."""
+    """Records, sends and confirms scale-ins."""
 
     def __init__(
         self,
@@ -55,11 +55,11 @@
                 m for m in machines if m.health not in (Health.TERMINATED, Health.TERMINATING)
             ]
             if len(remaining) == len(machines):
-                return  # the claim failed: the next step decides anew
+                return  # the claim failed: the next step decides again
             machines = remaining
 
     async def _execute(self, machines: list[Machine], now: float) -> None:
-        """Record and send one call, for as many of the machines as it may name."""
+        """Record and send one call for as many of the machines as it may contain."""
         names = self._names_for_one_call(machines)
         operation = ScaleInOperation(
             self._operations.next_idempotency_key(), names, OperationState.AUTHORIZED
@@ -120,8 +120,8 @@
     async def _delete_records(self, operation: ScaleInOperation) -> None:
         """Remove the machines from their scale-outs' records, and delete the operation's record.
 
-        Otherwise the next leader would count them as capacity that is about to boot. The
-        operation's own record goes last: until then, the next leader repeats the scale-in.
+        A new leader would count machines that are left in a record as booting capacity. The
+        operation's own record is deleted last: until then, a new leader repeats the scale-in.
         """
         changes: list[protocol.Operation] = []
         terminated = set(operation.machine_names)
@@ -138,7 +138,7 @@
     def _remove_machines(
         self, scale_out: ScaleOutOperation, terminated: set[str]
     ) -> protocol.Operation | None:
-        """Remove machines from a scale-out. Returns the change of its record, if there is one."""
+        """Remove machines from a scale-out. Returns the change of its record, or None."""
         names = scale_out.record.machine_names or ()
         remaining = tuple(name for name in names if name not in terminated)
         if len(remaining) == len(names):
--- a/petrelthread/provisioning/scale_in_selection.py
+++ b/petrelthread/provisioning/scale_in_selection.py
@@ -1,4 +1,4 @@
-"""Which machines to scale in, besides those that the plan finds surplus."""
+"""Selection of the machines to scale in: the plan's idle surplus and unusable machines."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 log = logging.getLogger(__name__)
 
-MIN_MASS_OUTAGE = 4  # fewer unresponsive machines than this are never taken for a network fault
+MIN_MASS_OUTAGE = 4  # with fewer unresponsive machines, no network fault is assumed
 
 
 class ScaleInSelection:
-    """Selects idle surplus machines and those that are failed, lost or drained."""
+    """Selects idle surplus, quarantined, unresponsive, preempted and never booted machines."""
 
-    def __init__(self, context: ProvisioningContext, boots: BootMonitor) -> None:
+    def __init__(self, context: ProvisioningContext, boot_monitor: BootMonitor) -> None:
         self._fleet = context.fleet
         self._cluster_state = context.cluster_state
-        self._boots = boots
+        self._boot_monitor = boot_monitor
 
     def unresponsive(self) -> list[Machine]:
         """Unresponsive machines that failed independently.
 
         If most machines are unresponsive at once, the cause is more likely this controller or the
-        network, and the list is empty: they go once their leases have expired.
+        network. The list is then empty: ``select`` waits until the machines' leases expire.
         """
         machines = self._fleet.machines.values()
         up = sum(m.health in (Health.UP, Health.DRAINING) for m in machines)
@@ -36,13 +36,13 @@
         return unresponsive
 
     def unresponsive_with_replicas(self) -> list[Machine]:
-        """Those whose replicas can be placed elsewhere as soon as the scale-in is confirmed."""
+        """Unresponsive machines whose replicas can move as soon as the scale-in is confirmed."""
         return [m for m in self.unresponsive() if self._fleet.hosts_replicas(m)]
 
     def select(self, plan: Plan, now: float) -> list[Machine]:
         """Machines to scale in now, each once."""
         machines = self._fleet.machines
-        # Some may have got work since the plan was made, while machines were scaled out.
+        # Machines may have received tasks since the plan was made, during the scale-outs.
         selected = {index: machines[index] for index in plan.scale_ins if self._is_idle(index)}
         unresponsive = {machine.index for machine in self.unresponsive()}
         for machine in machines.values():
@@ -61,22 +61,20 @@
         )
 
     def _reason(self, machine: Machine, unresponsive: set[int], now: float) -> str:
-        """Why the machine should be scaled in whatever the plan says; empty if it should not."""
+        """Why the machine is to be scaled in regardless of the plan; empty if it is not."""
         if machine.health in (Health.TERMINATED, Health.TERMINATING):
             return ""
         if machine.quarantine_reason:
             return machine.quarantine_reason
         if machine.health is Health.UNRESPONSIVE:
-            may_terminate = machine.index in unresponsive or now > self._fleet.lease_expires_at(
-                machine
-            )
-            return "unresponsive" if may_terminate else ""
+            confirmed = machine.index in unresponsive or now > self._fleet.lease_expires_at(machine)
+            return "unresponsive" if confirmed else ""
         if machine.health is Health.DRAINING:
             empty = machine.index not in self._cluster_state.attempts_by_machine
             return "drained before preemption" if self._is_preempted(machine) and empty else ""
-        return "did not boot in time" if self._boots.has_timed_out(machine, now) else ""
+        return "did not boot in time" if self._boot_monitor.has_timed_out(machine, now) else ""
 
     @staticmethod
     def _is_preempted(machine: Machine) -> bool:
-        """Whether the cloud has announced that it will take the spot machine."""
+        """Whether the cloud has announced that it will reclaim the spot machine."""
         return machine.spot_notice_s is not None
--- a/petrelthread/provisioning/scale_out.py
+++ b/petrelthread/provisioning/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale-out calls: recorded, sent within the cloud's rate, and confirmed."""
+"""Scale-out calls: recorded, sent within the cloud's rate limit, and confirmed."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def interleave(requests: list[ScaleOutRequest]) -> list[ScaleOutRequest]:
     """Order requests so that each offer gets its first call before any offer gets its second.
 
-    All offers then show early what they have.
+    It is then known early which offers have capacity.
     """
     calls: Counter[OfferKey] = Counter()
     rounds: list[int] = []
@@ -41,7 +41,7 @@
 
 
 class ScaleOutExecutor:
-    """Carries out scale-out requests."""
+    """Records, sends and confirms scale-out requests."""
 
     def __init__(
         self,
@@ -57,9 +57,9 @@
         self._offer_backoff = offer_backoff
 
     async def execute_all(self, requests: list[ScaleOutRequest]) -> bool:
-        """Make the calls as fast as the cloud takes them. True if all were filled.
+        """Make the calls as fast as the rate limit allows. True if all were filled.
 
-        Calls to an offer that has come short meanwhile are skipped: they would only be refused,
+        Calls to an offer that has fallen short meanwhile are skipped: they would only be refused,
         and delay the calls to other offers.
         """
         clock = asyncio.get_running_loop().time
@@ -75,9 +75,9 @@
         return all(await asyncio.gather(*calls)) and not skipped
 
     async def execute(self, request: ScaleOutRequest, now: float) -> bool:
-        """Record and send one request. The call must have been acquired.
+        """Record and send one request. The caller must have acquired the call.
 
-        Returns False if the cloud gave less than was asked for.
+        Returns False if the cloud gave fewer machines than requested.
         """
         record = ScaleOutRecord(
             self._names.machine_types.name(request.machine_type),
@@ -137,12 +137,12 @@
         elif isinstance(error, CloudUnavailableError):
             log.info("scale-out %s not carried out: %s", key, error)
             if operation.state is OperationState.UNKNOWN:
-                # An earlier sending may have been carried out.
+                # An earlier attempt at the same request may have been carried out.
                 operation.retry_at = now + RETRY_INTERVAL_S
             else:
                 self._supersede(operation)
         else:
-            log.info("scale-out %s unknown: %s", key, error)
+            log.info("scale-out %s: outcome unknown: %s", key, error)
             if operation.state is OperationState.DISPATCHING:
                 transition(operation, OperationState.UNKNOWN)
                 operation.unknown_at = now
@@ -180,6 +180,6 @@
 
 
 def _describe(record: ScaleOutRecord) -> str:
-    """The offer that a record asks, for the log."""
+    """The offer that a record requests, as text for the log."""
     kind = "spot" if record.spot else "on-demand"
     return f"{kind} {record.machine_type} in {record.zone}"
--- a/petrelthread/provisioning/test_cloud.py
+++ b/petrelthread/provisioning/test_cloud.py
@@ -1,4 +1,4 @@
-"""The client of the cloud: whole or refused lists, and the budget of calls."""
+"""The cloud client: complete and refused lists, and the budget of calls."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class PagedCloud:
-    """Serves a list of machines page by page; ``fault`` spoils one page."""
+    """Returns a list of machines page by page; ``fault`` selects what goes wrong from page 3 on."""
 
     def __init__(self, machines: int, fault: str = "") -> None:
         self.machines = [listed(n) for n in range(machines)]
@@ -58,14 +58,14 @@
 
 
 @pytest.mark.parametrize(("machines", "calls"), [(0, 1), (499, 1), (501, 2), (4000, 8), (8000, 16)])
-def test_list_of_thousands_is_read_in_pages(machines: int, calls: int) -> None:
+def test_list_of_thousands_of_machines_is_read_in_pages(machines: int, calls: int) -> None:
     cloud = PagedCloud(machines)
     found = asyncio.run(cloud.client().list_machines())
     assert [entry.name for entry in found] == [m["name_id"] for m in cloud.machines]
     assert cloud.calls == calls
 
 
-def test_list_that_changes_while_it_is_read_is_whole() -> None:
+def test_list_that_changes_while_it_is_read_is_complete() -> None:
     cloud = PagedCloud(1600, "changes")
     found = asyncio.run(cloud.client().list_machines())
     assert {m["name_id"] for m in cloud.machines} <= {entry.name for entry in found}
--- a/petrelthread/provisioning/test_offer_backoff.py
+++ b/petrelthread/provisioning/test_offer_backoff.py
@@ -1,4 +1,4 @@
-"""Back-off from offers without capacity."""
+"""Backoff from offers without capacity."""
 
 from __future__ import annotations
 
@@ -16,6 +16,6 @@
     assert backoff.is_available(SPOT, 20.0)
     backoff.record_refusal(SPOT, 20.0)
     assert not backoff.is_available(SPOT, 35.0)
-    # A machine that was scaled in may be had again at once.
+    # After a scale-in, the offer has capacity for that machine again.
     backoff.reset(SPOT)
     assert backoff.is_available(SPOT, 35.0)
--- a/petrelthread/provisioning/test_planner.py
+++ b/petrelthread/provisioning/test_planner.py
@@ -61,21 +61,21 @@
     assert machines_in(later) < machines_in(soon)
 
 
-def test_work_without_goal_gets_on_demand_machines_only_as_last_resort() -> None:
+def test_best_effort_work_gets_on_demand_machines_only_without_enough_spot_machines() -> None:
     best_effort = demand(1600, 480_000.0)._replace(cores=1.0, ram_gb=1.8, best_effort=True)
     spot = owned(300)
     assert not plan_for([best_effort], spot, [ON_DEMAND]).scale_outs
     assert plan_for([best_effort._replace(best_effort=False)], spot, [ON_DEMAND]).scale_outs
-    # Without any spot machine it is served all the same.
+    # Without any spot machine, it gets on-demand machines.
     filled = ON_DEMAND._replace(last_filled=True)
     assert 100 <= machines_in(plan_for([best_effort], [], [filled], max_calls=99)) <= 250
-    # The work of others with a goal comes first.
+    # Work with a deadline beside it gets on-demand machines.
     urgent = demand(100, 2000.0, due_s=100.0)
     assert plan_for([urgent, best_effort], [], [ON_DEMAND]).scale_outs
 
 
-def test_on_demand_is_asked_only_after_short_answer_of_spot_offer() -> None:
-    """The limit of 50 machines per call is no reason to ask a more expensive offer."""
+def test_on_demand_is_requested_only_after_spot_offer_falls_short() -> None:
+    """The limit of 50 machines per call is no reason to request a more expensive offer."""
     backlog = [demand(700, 14000.0, due_s=100.0)]
     first = plan_for(backlog, [], [ON_DEMAND, SPOT], max_calls=8)
     assert [(r.spot, r.machine_count) for r in first.scale_outs] == [(True, 50)]
@@ -88,8 +88,8 @@
     assert any(not r.spot for r in after_refusal.scale_outs)
 
 
-def test_untried_spot_offers_are_asked_together() -> None:
-    """One after the other, the last of them would be asked some calls later."""
+def test_untried_spot_offers_are_requested_together() -> None:
+    """If tried one after the other, the last offer would be requested several calls later."""
     untried = [SPOT._replace(zone=zone, tried=False) for zone in range(3)]
     plan = plan_for([demand(150, 4500.0)], [], untried)
     assert [(r.zone, r.machine_count) for r in plan.scale_outs] == [(0, 50), (1, 50), (2, 25)]
@@ -106,7 +106,7 @@
 
 
 def test_on_demand_machine_of_job_without_spot_is_not_cordoned() -> None:
-    """Cheaper spot machines beside it must not make it surplus: the job would starve."""
+    """Cheaper spot machines must not make it surplus, since the job could not run on them."""
     machines = owned(5) + owned(1, spot=False)
     plan = plan_for([demand(10, 50.0), demand(2, 10.0, spot=False)], machines, [])
     assert 100 not in plan.cordoned
@@ -120,16 +120,16 @@
     assert not busy.scale_ins
 
 
-def test_only_jobs_with_pending_tasks_keep_room_on_fullest_machines() -> None:
-    flowing, ending = demand(8, 400.0), demand(20, 400.0)._replace(has_pending=False)
+def test_only_jobs_with_pending_tasks_keep_machines_schedulable() -> None:
+    with_pending, ending = demand(8, 400.0), demand(20, 400.0)._replace(has_pending=False)
     machines = [
         machine._replace(tasks=2 if n < 6 else 1, occupied_cores=2.0 if n < 15 else 4.0)
         for n, machine in enumerate(owned(20))
     ]
-    plan = plan_for([flowing, ending], machines, [SPOT])
-    assert not plan.scale_outs  # machines that are being emptied still count as capacity
+    plan = plan_for([with_pending, ending], machines, [SPOT])
+    assert not plan.scale_outs  # cordoned machines still count as capacity
     assert plan.cordoned == set(range(8, 20))  # 8 machines with 2 free cores each hold 8 tasks
-    # While more is pending than there is room for, every machine takes new tasks.
+    # While pending tasks exceed the free cores, every machine accepts new tasks.
     mostly_full = [m._replace(occupied_cores=4.0) if m.machine_index % 2 else m for m in machines]
     assert not plan_for([demand(90, 4000.0), ending], mostly_full, []).cordoned
     without_pending = plan_for([ending], machines, [SPOT])
@@ -137,12 +137,12 @@
     assert not without_pending.scale_ins  # none of them idles
 
 
-def test_replicas_are_standing_demand() -> None:
+def test_replicas_get_on_demand_machines_and_keep_them() -> None:
     replicas = Demand(8, 0.0, 0.0, 1.0, 0.0, 1.6, None, None, False, standing=True)
     first = plan_for([replicas], [], [ON_DEMAND, SPOT], standing_reserve=4.0)
     # 8 cores and 4 in reserve
     assert [(r.spot, r.machine_count) for r in first.scale_outs] == [(False, 3)]
-    # Machines with replicas stay; those beside them serve job arrays or are scaled in.
+    # Machines with replicas are kept; idle ones beyond the reserve are scaled in.
     busy = [m._replace(replicas=4) for m in owned(2, spot=False)]
     idle = [
         m._replace(machine_index=m.machine_index + 50)
--- a/petrelthread/provisioning/test_provisioner.py
+++ b/petrelthread/provisioning/test_provisioner.py
@@ -12,7 +12,7 @@
 
 
 def test_scaled_in_and_late_machines_are_no_capacity_for_next_leader() -> None:
-    """From stale records they would come back as booting capacity, and replace scale-outs."""
+    """Stale records would count them as booting capacity and suppress scale-outs."""
 
     async def scenario() -> None:
         simulation = Simulation()
@@ -40,8 +40,8 @@
     play(scenario())
 
 
-def test_new_leader_does_not_scale_out_in_place_of_idle_machines() -> None:
-    """Idle machines have no tasks on record and look late to boot until they report."""
+def test_new_leader_does_not_replace_idle_machines() -> None:
+    """Idle machines have no recorded tasks and look late to boot until their first heartbeat."""
 
     async def scenario() -> None:
         simulation = Simulation()
@@ -50,7 +50,7 @@
         await asyncio.sleep(3.0)
         rented = simulation.cloud.rented
         assert rented == len(simulation.cloud.machines) > 0
-        for machine in simulation.cloud.machines.values():  # their next reports come late
+        for machine in simulation.cloud.machines.values():  # their next heartbeats are late
             machine.worker.frozen = True
         simulation.crash(await simulation.wait_for_leader())
         await simulation.submit(job("wk-000002", 6, estimated_run_s=60.0))
@@ -68,7 +68,7 @@
 def test_capacity_is_kept_for_class_that_must_start_before_booting_machine_is_late(
     startup_s: float,
 ) -> None:
-    """Jobs of the class have to start within 9 s, which is shorter than a usual or a slow boot."""
+    """Jobs of the class must start within 9 s; the boot takes 7 s, or 10 s if slow."""
 
     async def scenario() -> None:
         slow = ({**SMALL.machine_types[0], "startup_s": startup_s},)
@@ -82,7 +82,7 @@
         assert {(False, "a"), (False, "b")} <= set(kinds)
         await simulation.submit(job("wk-000002", 1, job_class="rush"))
         await asyncio.sleep(75.0)
-        # Its first job accepts spot machines: no on-demand capacity is kept any more.
+        # Its first job accepts spot machines: no more on-demand capacity is kept.
         assert all(m.description.spot for m in simulation.cloud.machines.values())
 
     play(scenario())
--- a/petrelthread/provisioning/test_scale_in.py
+++ b/petrelthread/provisioning/test_scale_in.py
@@ -1,4 +1,4 @@
-"""Scale-in calls, and which machines they name."""
+"""Scale-in calls, and the selection of machines for them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.virtual import play
 
 
-def test_more_machines_than_one_call_may_name_are_scaled_in_by_several_calls() -> None:
+def test_machines_beyond_limit_of_one_call_are_scaled_in_by_further_calls() -> None:
     """The cloud refuses a call with more than 100 names."""
     name_counts: list[int] = []
 
@@ -39,8 +39,8 @@
     play(scenario())
 
 
-def test_machine_that_got_work_since_plan_is_not_selected() -> None:
-    """Scale-outs, which take seconds, come between the plan and its scale-ins."""
+def test_machine_that_received_tasks_since_plan_is_not_selected() -> None:
+    """Scale-outs, which take seconds, are made between the plan and its scale-ins."""
 
     async def scenario() -> None:
         simulation = Simulation(1)
--- a/petrelthread/provisioning/test_scale_out.py
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -23,8 +23,8 @@
     ]
 
 
-def test_further_calls_to_offer_that_came_short_are_skipped() -> None:
-    """They would be refused, and other zones would wait for their calls meanwhile."""
+def test_further_calls_to_offer_that_fell_short_are_skipped() -> None:
+    """They would be refused, and delay the calls to other zones."""
     answers: list[tuple[str, int]] = []  # zone and number of machines
 
     async def scenario() -> None:
@@ -48,7 +48,7 @@
         await asyncio.sleep(6.0)
 
     play(scenario())
-    # Two zones draw from the same 420 machines: nine calls get some, and hardly one gets none.
+    # Two zones share the same 420 machines: nine calls get some, at most two of the next get none.
     first_short = next(at for at, (_, count) in enumerate(answers) if count < 50)
     refused = [zone for zone, count in answers[first_short : first_short + 4] if count == 0]
     assert len(refused) <= 2, refused
