--- a/petrelthread/settings/__init__.py
+++ b/petrelthread/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings file handed over by the platform: read once, checked, never changed."""
+"""The settings file provided by the platform: read once at start, checked, immutable."""
 
 from petrelthread.settings.address import split_addr
 from petrelthread.settings.loading import SettingsError, load, parse
--- a/petrelthread/settings/loading.py
+++ b/petrelthread/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reading and checking of the settings file."""
+"""Reading and validation of the settings file."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 def parse(text: str) -> Settings:
-    """Parse and check settings; the state service's limits are those in force.
+    """Parse and check settings, and apply the effective limits of the state service.
 
     Raises:
-        SettingsError: the text is no TOML, or a field is missing or invalid.
+        SettingsError: the text is not TOML, or a field is missing or invalid.
     """
     try:
         raw = tomllib.loads(text)
@@ -53,7 +53,7 @@
     _check_amounts(settings.cluster)
     _check_teams(settings.cluster)
     cluster = settings.cluster
-    cluster = msgspec.structs.replace(cluster, state=cluster.state.in_force())
+    cluster = msgspec.structs.replace(cluster, state=cluster.state.effective_limits())
     return msgspec.structs.replace(settings, cluster=cluster)
 
 
@@ -88,7 +88,7 @@
     for field, amount in amounts:
         if not (math.isfinite(amount) and amount > 0):
             raise SettingsError(f"{field}: must be a finite number above 0, got {amount}")
-    if cluster.state.in_force().txn_ops < MIN_TRANSACTION_OPERATIONS:
+    if cluster.state.effective_limits().txn_ops < MIN_TRANSACTION_OPERATIONS:
         raise SettingsError(
             f"cluster.state.txn_ops: at least {MIN_TRANSACTION_OPERATIONS} changes"
             " a transaction are needed"
--- a/petrelthread/settings/model.py
+++ b/petrelthread/settings/model.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-UNLIMITED = 1e12  # more than any deployment has; finite, so that shares and counts stay numbers
-CLOCK_DRIFT_FACTOR = 1.002  # bound on how much longer a duration may take on another machine
-CANCELLATION_MARGIN_S = 3.0  # of the time that a cancellation has, left for messages
+UNLIMITED = 1e12  # above any real limit; finite, so that shares and counts stay finite
+CLOCK_DRIFT_FACTOR = 1.002  # maximum ratio of a duration on another clock to the same on this clock
+CANCELLATION_MARGIN_S = 3.0  # part of the cancellation deadline reserved for messages
 
 
 class Sibling(msgspec.Struct, frozen=True):
-    """Another controller of the same service."""
+    """Another controller of the same cluster."""
 
     host_name: str
     peer_addr: str
@@ -29,7 +29,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed resources and limits. A limit of 0 means none."""
+    """A team's guaranteed resources and limits. A limit of 0 means no limit."""
 
     name: str
     cpus: float = 0.0
@@ -39,12 +39,12 @@
 
     @property
     def most_cores(self) -> float:
-        """Cores that the team's tasks may use at once."""
+        """Maximum number of cores that the team's tasks may use at once."""
         return self.cpus_max or UNLIMITED
 
     @property
     def most_accelerators(self) -> float:
-        """Accelerators that the team's tasks may use at once."""
+        """Maximum number of accelerators that the team's tasks may use at once."""
         return self.gpus_max or UNLIMITED
 
 
@@ -54,20 +54,20 @@
     kind: str  # "finished", "deadline" or "wait"
     jobclass: str = msgspec.field(name="class", default="")
     within_s: float = 0.0
-    share: float = 0.0  # of jobs or tasks that have to meet it
-    times: float = 1.0  # of the deadline
+    share: float = 0.0  # of jobs or tasks that must meet the objective
+    times: float = 1.0  # multiple of the deadline
 
 
 class Workers(msgspec.Struct, frozen=True):
-    """Intervals of the workers' protocol."""
+    """Intervals of the worker protocol."""
 
     report_s: float  # between two heartbeats
-    lease_s: float  # that an answered heartbeat renews
-    cancel_s: float  # until all tasks of a cancelled job have to be gone
+    lease_s: float  # duration of a worker's lease, renewed by an answered heartbeat
+    cancel_s: float  # time after which all tasks of a cancelled job must have ended
 
 
 class NextState(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on, without notice."""
+    """Limits that the state service will adopt later, at a time that is not announced."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -84,38 +84,42 @@
     txn_ops: int
     next: NextState | None = None
 
-    def in_force(self) -> State:
-        """The limits that hold for every write from the first one on.
+    def effective_limits(self) -> State:
+        """The limits that apply to every write from the first one.
 
-        Nobody announces when the next ones begin. A value or transaction beyond the smaller limit
-        would be refused for ever, so that one holds at once. A write beyond the lowered rate is
-        refused harmlessly: the present rate holds until a refusal shows ``lowered_write_rps``.
+        The service does not announce when it adopts the next limits. From then on, a value or
+        transaction above the smaller limit would be refused permanently, so the smaller limit
+        applies from the start. A write above the lowered rate is refused without harm, so the
+        present rate applies until a refusal shows that ``lowered_write_rps`` is in effect.
         """
-        after = self.next or NextState()
+        next_limits = self.next or NextState()
         return State(
-            min(self.rps, self.rps if after.rps is None else after.rps),
+            min(self.rps, self.rps if next_limits.rps is None else next_limits.rps),
             self.write_rps,
-            min(self.value_kb, self.value_kb if after.value_kb is None else after.value_kb),
-            min(self.txn_ops, self.txn_ops if after.txn_ops is None else after.txn_ops),
-            after,
+            min(
+                self.value_kb,
+                self.value_kb if next_limits.value_kb is None else next_limits.value_kb,
+            ),
+            min(self.txn_ops, self.txn_ops if next_limits.txn_ops is None else next_limits.txn_ops),
+            next_limits,
         )
 
     @property
     def lowered_write_rps(self) -> float:
-        """The write rate that holds once the service has lowered its limits."""
-        later = None if self.next is None else self.next.write_rps
-        return self.write_rps if later is None else min(self.write_rps, later)
+        """The write rate that applies once the service has lowered its limits."""
+        next_write_rps = None if self.next is None else self.next.write_rps
+        return self.write_rps if next_write_rps is None else min(self.write_rps, next_write_rps)
 
 
 class Cloud(msgspec.Struct, frozen=True):
-    """Limits of the cloud's interface, and how far its list of machines lags."""
+    """Rate limit of the cloud's API, and the lag of its list of machines."""
 
     rps: float
     list_lag_s: float
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the machine of this controller gives to it."""
+    """Resources that the controller's machine provides to it."""
 
     cpu: float = 1.0  # share of a core
     ram_mb: float = 512.0
@@ -123,15 +127,15 @@
 
 
 class Cluster(msgspec.Struct, frozen=True):
-    """What is the same for all controllers."""
+    """Settings that are the same for all controllers."""
 
     workers: Workers
     state: State
     cloud: Cloud
     machine_limits: MachineLimits = MachineLimits()
-    count: int = 1  # controllers
+    count: int = 1  # number of controllers
     zones: tuple[str, ...] = ()
-    skew_ms: float = 0.0  # bound on the error of the time of day
+    skew_ms: float = 0.0  # maximum error of the wall clock
     teams: tuple[Team, ...] = ()
     objectives: tuple[Objective, ...] = ()
 
@@ -151,8 +155,8 @@
     def lease_grace_s(self) -> float:
         """How long after its last renewal a leader may still renew workers' leases.
 
-        A job may be cancelled the moment after that renewal, and its tasks have to be gone within
-        ``cancel_s``: the grace period and a full worker lease have to fit inside.
+        A job may be cancelled just after that renewal, and its tasks must have ended within
+        ``cancel_s``. That time must cover the grace period, a full worker lease and the margin.
         """
         workers = self.cluster.workers
         worker_lease_s = workers.lease_s * CLOCK_DRIFT_FACTOR
--- a/petrelthread/settings/test_settings.py
+++ b/petrelthread/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is refused, and that the text says where."""
+"""Settings: validation, error texts that name the field, and effective limits."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from petrelthread.settings import SettingsError, load, parse
 from tests.simulation import SETTINGS
 
-GOOD = SETTINGS.format(name="n0", siblings="")
+VALID = SETTINGS.format(name="n0", siblings="")
 
 
-def test_good_settings_and_unknown_fields() -> None:
-    settings = parse("new_field = 3\n" + GOOD)
+def test_valid_settings_with_unknown_field_are_accepted() -> None:
+    settings = parse("new_field = 3\n" + VALID)
     assert settings.host_name == "n0"
     workers = settings.cluster.workers
     assert 0 < settings.lease_grace_s < workers.cancel_s - workers.lease_s
 
 
-def test_a_team_without_a_limit_has_none() -> None:
-    """DEPLOY: "0 means none". Guests' jobs were all refused as beyond a limit of 0 cores."""
-    guest = parse(GOOD).cluster.teams[-1]
+def test_team_limit_of_zero_means_no_limit() -> None:
+    """DEPLOY says "0 means none". Taken as 0 cores, the limit refused all jobs of such a team."""
+    guest = parse(VALID).cluster.teams[-1]
     assert (guest.name, guest.cpus, guest.cpus_max) == ("guest", 0.0, 0.0)
     assert guest.most_cores > 1e9
     assert guest.most_accelerators > 1e9
-    assert parse(GOOD).cluster.teams[0].most_cores == 12.0
+    assert parse(VALID).cluster.teams[0].most_cores == 12.0
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected_text"),
     [
         ('bind = "n0:1"', 'bind = "n0"', "bind"),
         ("lease_s = 10.0", 'lease_s = "ten"', "lease_s"),
@@ -41,28 +41,28 @@
         ("count = 3", "count = [", "TOML"),
     ],
 )
-def test_bad_settings_name_the_field(old: str, new: str, said: str) -> None:
-    with pytest.raises(SettingsError, match=said.replace("[", r"\[")):
-        parse(GOOD.replace(old, new, 1))
+def test_error_for_invalid_settings_names_the_field(old: str, new: str, expected_text: str) -> None:
+    with pytest.raises(SettingsError, match=expected_text.replace("[", r"\[")):
+        parse(VALID.replace(old, new, 1))
 
 
-def test_limits_that_will_come_hold_from_the_first_write() -> None:
-    """They begin without notice; a larger one, or none, changes nothing."""
-    now = parse(GOOD).cluster.state
-    text = GOOD + "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 100.0\n"
-    later = parse(text).cluster.state
-    assert (later.value_kb, later.txn_ops) == (2.0, 4)
-    assert (later.write_rps, later.rps) == (now.write_rps, now.rps)
-    assert later.lowered_write_rps == now.lowered_write_rps == now.write_rps
+def test_smaller_next_limits_apply_from_the_first_write() -> None:
+    """They take effect without notice. A larger limit, or none, changes nothing."""
+    current = parse(VALID).cluster.state
+    text = VALID + "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 100.0\n"
+    lowered = parse(text).cluster.state
+    assert (lowered.value_kb, lowered.txn_ops) == (2.0, 4)
+    assert (lowered.write_rps, lowered.rps) == (current.write_rps, current.rps)
+    assert lowered.lowered_write_rps == current.lowered_write_rps == current.write_rps
 
 
-def test_a_lower_write_rate_that_will_come_holds_once_it_is_seen() -> None:
-    """A write beyond it is refused harmlessly; what is too large would be refused for ever."""
-    text = GOOD + "[cluster.state.next]\nwrite_rps = 18.0\nrps = 90.0\n"
+def test_lower_next_write_rate_does_not_apply_from_the_first_write() -> None:
+    """A write above it is refused without harm; a value too large would always be refused."""
+    text = VALID + "[cluster.state.next]\nwrite_rps = 18.0\nrps = 90.0\n"
     state = parse(text).cluster.state
     assert (state.write_rps, state.lowered_write_rps, state.rps) == (60.0, 18.0, 90.0)
 
 
-def test_missing_file_is_named(tmp_path: object) -> None:
+def test_error_for_missing_file_names_it(tmp_path: object) -> None:
     with pytest.raises(SettingsError, match=r"nowhere\.toml"):
         load(f"{tmp_path}/nowhere.toml")
