--- a/petrelthread/protocol/__init__.py
+++ b/petrelthread/protocol/__init__.py
@@ -1,8 +1,8 @@
-"""The protocols spoken with users, workers, the cloud and the state service.
+"""Wire protocols of users, workers, the cloud and the state service.
 
-This package alone knows the names used on the wire. Each partner has a module: paths, typed
-messages, and functions that decode what arrives and build what is sent. Everything else works with
-the typed messages, whose attributes have the usual names of the field.
+Only this package knows the names used on the wire. It has one module for each of the four, with its
+paths, its typed messages, and functions that decode incoming and build outgoing messages. All other
+packages use the typed messages, whose attributes have the usual names of the field.
 """
 
 from petrelthread.protocol.cloud import (
@@ -41,7 +41,7 @@
     JOB_ID,
     JOBS_PATH,
     MAX_BODY_BYTES,
-    MAX_TASKS,
+    MAX_TASKS_PER_JOB,
     PRIORITIES,
     READY_PATH,
     JobKind,
@@ -82,7 +82,7 @@
     "MAX_LIST_PAGE",
     "MAX_MACHINES_PER_SCALE_IN",
     "MAX_MACHINES_PER_SCALE_OUT",
-    "MAX_TASKS",
+    "MAX_TASKS_PER_JOB",
     "PRIORITIES",
     "READY_PATH",
     "SCALE_IN_PATH",
--- a/petrelthread/protocol/cloud.py
+++ b/petrelthread/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's interface: its catalogue, scale-out and scale-in of machines, and their list."""
+"""The cloud's API: machine types, scale-out, scale-in and the list of rented machines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """One machine type of the catalogue. Prices are per hour, boot times in seconds."""
+    """A machine type of the catalog. Prices are per hour, boot times in seconds."""
 
     name: str = msgspec.field(name="sku")
     cores: float
@@ -32,13 +32,13 @@
 
 
 class Catalog(msgspec.Struct, frozen=True):
-    """All machine types that the cloud has."""
+    """All machine types that the cloud offers."""
 
     machine_types: tuple[MachineType, ...] = msgspec.field(name="hulls")
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine as the cloud lists it. ``age_s``: since the request that rented it."""
+    """A machine in the cloud's list. ``age_s`` counts from the request that rented it."""
 
     name: str = msgspec.field(name="name_id")
     machine_type: str = msgspec.field(name="hull", default="")
@@ -57,7 +57,7 @@
 
 
 class ScaleOutResponse(msgspec.Struct, frozen=True):
-    """The machines that a scale-out request has rented: at most as many as it asked for."""
+    """The machines that a scale-out request rented: possibly fewer than it asked for."""
 
     machine_names: tuple[str, ...] = msgspec.field(name="perches", default=())
 
@@ -65,7 +65,7 @@
 def scale_out_request(
     idempotency_key: str, machine_type: str, zone: str, spot: bool, count: int
 ) -> dict[str, Any]:
-    """Rent machines. Repeated with the same key, the request rents nothing more."""
+    """Build a request to rent machines; a repeat with the same key rents no more machines."""
     return {
         "charter": idempotency_key,
         "hull": machine_type,
@@ -76,5 +76,5 @@
 
 
 def scale_in_request(machine_names: list[str]) -> dict[str, Any]:
-    """Return machines; names that the cloud does not know are ignored."""
+    """Build a request to return machines; the cloud ignores names that it does not know."""
     return {"perches": machine_names}
--- a/petrelthread/protocol/errors.py
+++ b/petrelthread/protocol/errors.py
@@ -1,7 +1,7 @@
-"""Errors in messages that arrive."""
+"""Errors raised for malformed incoming messages."""
 
 from __future__ import annotations
 
 
 class BadRequestError(Exception):
-    """The body of a request is malformed; the text names the field and the reason."""
+    """A message body is malformed; the error text gives the reason and, if known, the field."""
--- a/petrelthread/protocol/state_service.py
+++ b/petrelthread/protocol/state_service.py
@@ -25,7 +25,7 @@
 
 
 class KeyChange(msgspec.Struct, frozen=True):
-    """One change that a watch shows: either ``put_key`` or ``deleted_key`` is given."""
+    """One change in a watch response: either ``put_key`` or ``deleted_key`` is set."""
 
     revision: int = msgspec.field(name="stamp")
     put_key: str | None = msgspec.field(name="put", default=None)
@@ -34,20 +34,20 @@
 
 
 class WatchResponse(msgspec.Struct, frozen=True):
-    """All changes up to ``revision`` since the one that the watch began at."""
+    """All changes after the revision at which the watch began, up to ``revision``."""
 
     revision: int = msgspec.field(name="epoch")
     changes: tuple[KeyChange, ...] = msgspec.field(name="log", default=())
 
 
 class TransactionCommitted(msgspec.Struct, frozen=True):
-    """All operations were applied, with one revision."""
+    """All operations were applied, at one revision."""
 
     revision: int = msgspec.field(name="epoch")
 
 
 class TransactionFailed(msgspec.Struct, frozen=True):
-    """Nothing was applied: the conditions on these keys did not hold."""
+    """No operation was applied: the conditions on these keys were not met."""
 
     failed_keys: tuple[str, ...] = msgspec.field(name="failed", default=())
 
@@ -59,14 +59,14 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """The key's last change has this revision; 0: the key does not exist."""
+    """Requires that the key's last change has this revision, or with 0 that it does not exist."""
 
     key: str = msgspec.field(name="path")
     revision: int = msgspec.field(name="stamp")
 
 
 class PutOperation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Store a value; with a lease, the key is deleted when the lease ends."""
+    """Store a value. With a lease, the key is deleted when the lease expires or is revoked."""
 
     key: str = msgspec.field(name="put")
     value: Any = msgspec.field(name="v")
@@ -85,7 +85,7 @@
 def transaction_request(
     conditions: Sequence[Condition], operations: Sequence[Operation]
 ) -> dict[str, Any]:
-    """A compare-and-swap: the operations are applied if all conditions hold."""
+    """Build a compare-and-swap: the operations are applied only if all conditions are met."""
     return {
         "when": msgspec.to_builtins(conditions),
         "apply": msgspec.to_builtins(operations),
--- a/petrelthread/protocol/users.py
+++ b/petrelthread/protocol/users.py
@@ -17,14 +17,14 @@
 
 JOB_ID = re.compile(r"wk-[0-9]{1,32}\Z")
 MAX_BODY_BYTES = 64 * 1024
-MAX_TASKS = 100_000
-MAX_AMOUNT = 1e12  # exclusive bound of resource amounts and durations
+MAX_TASKS_PER_JOB = 100_000
+MAX_AMOUNT = 1e12  # exclusive upper bound of resource amounts and durations
 
 PRIORITIES = {"prod": 3, "high": 2, "standard": 1, "low": 0}
 
 
 class JobStatus(StrEnum):
-    """What a user is told of a job. The last two are final."""
+    """A job's status in responses to users. The last two are final."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -35,13 +35,13 @@
 class JobKind(StrEnum):
     """How the tasks of a job relate to each other."""
 
-    ARRAY = "array"  # independent tasks
-    GANG = "group"  # all tasks run at once or none does
+    ARRAY = "array"  # tasks are independent
+    GANG = "group"  # all tasks run at the same time or none runs
     SERVICE = "service"  # replicas that run until the job is cancelled
 
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """A job as submitted. Durations are in seconds, sizes in gigabytes."""
+    """A submitted job. Durations are in seconds, sizes in gigabytes."""
 
     job_id: str = msgspec.field(name="name_id")
     job_class: str = msgspec.field(name="jobclass")
@@ -57,7 +57,7 @@
     single_zone: bool = msgspec.field(name="same_place")
     spread_zones: bool = msgspec.field(name="scatter")
     spot_allowed: bool = msgspec.field(name="driftwood")
-    # Null or left out only for a service, which has no end to estimate.
+    # The next three may be null or omitted only for a service, which has no end to estimate.
     estimated_run_s: float | None = msgspec.field(name="guess_s", default=None)
     checkpoint_interval_s: float | None = msgspec.field(name="mark_s", default=None)
     grace_period_s: float | None = msgspec.field(name="stow_s", default=None)
@@ -68,7 +68,7 @@
 
 _job_decoder = msgspec.json.Decoder(JobSpec, strict=True)
 _WIRE_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
-_AMOUNTS = (
+_AMOUNT_ATTRIBUTES = (
     "cores",
     "accelerators",
     "ram_gb",
@@ -85,7 +85,7 @@
     """Decode and validate a submission.
 
     Raises:
-        BadRequestError: it is malformed, or a field is missing or invalid.
+        BadRequestError: The body is malformed, or a field is missing or invalid.
     """
     try:
         spec = _job_decoder.decode(body)
@@ -107,16 +107,16 @@
 
 
 def _validate(spec: JobSpec) -> None:
-    """Raise BadRequestError for the first field that is out of range; messages name wire fields."""
+    """Raise BadRequestError for the first invalid field, named as it is on the wire."""
     if not JOB_ID.match(spec.job_id):
         raise BadRequestError("name_id: must look like wk-000412")
     if spec.kind not in tuple(JobKind):
         raise BadRequestError("shape: must be array, group or service")
     if spec.priority not in PRIORITIES:
         raise BadRequestError("rank: must be prod, high, standard or low")
-    if not 1 <= spec.task_count <= MAX_TASKS:
-        raise BadRequestError(f"legs: must be 1 to {MAX_TASKS}")
-    for attribute in _AMOUNTS:
+    if not 1 <= spec.task_count <= MAX_TASKS_PER_JOB:
+        raise BadRequestError(f"legs: must be 1 to {MAX_TASKS_PER_JOB}")
+    for attribute in _AMOUNT_ATTRIBUTES:
         amount = getattr(spec, attribute)
         if amount is not None and not (math.isfinite(amount) and 0 <= amount < MAX_AMOUNT):
             raise BadRequestError(f"{_WIRE_NAMES[attribute]}: must be a finite number, 0 or more")
@@ -127,7 +127,7 @@
 def job_response(
     job_id: str, status: str, done: int | None = None, running: int = 0
 ) -> dict[str, Any]:
-    """The body that tells a user how a job stands; task counts only where ``done`` is given."""
+    """Build the body of a response with a job's status; task counts only if ``done`` is given."""
     if done is None:
         return {"name_id": job_id, "status": status}
     return {"name_id": job_id, "status": status, "done": done, "running": running}
--- a/petrelthread/protocol/workers.py
+++ b/petrelthread/protocol/workers.py
@@ -1,4 +1,4 @@
-"""Workers: their heartbeats, and the commands that controllers give them."""
+"""Workers' heartbeats, and the commands that controllers send to workers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class TaskState(StrEnum):
-    """How a task stands on its machine."""
+    """State of a task on its machine."""
 
-    FETCHING = "fetching"  # waits for its image
+    FETCHING = "fetching"  # waits for its image to be fetched
     GATHERING = "gathering"  # waits for the other tasks of its gang
     RUNNING = "running"
-    SAVING = "flushing"  # was told to stop and saves its progress
+    SAVING = "flushing"  # received a stop command and saves its progress
     EXITED = "ended"
 
 
@@ -31,17 +31,17 @@
     DONE = "done"
     ERROR = "error"
     NO_ROOM = "full"
-    IN_USE = "in_use"  # the task is on the machine with another attempt
+    IN_USE = "in_use"  # the machine has another attempt of the task
     UNKNOWN_TASK = "unknown"
 
 
 def task_id(job_id: str, index: int) -> str:
-    """The name of one task on the wire."""
+    """Build the identifier of a task on the wire."""
     return f"{job_id}/{index}"
 
 
 class TaskReport(msgspec.Struct):
-    """One task as its worker lists it."""
+    """A task in its worker's heartbeat."""
 
     task_id: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="try")
@@ -51,16 +51,16 @@
 
     @property
     def job_and_index(self) -> tuple[str, int]:
-        """The job's id and the task's index. Raises ValueError if the name is malformed."""
+        """The job's id and the task's index. Raises ValueError if ``task_id`` is malformed."""
         job_id, _, index = self.task_id.rpartition("/")
         return job_id, int(index)
 
 
 class WorkerHeartbeat(msgspec.Struct):
-    """A worker's heartbeat with the status of its machine and of all tasks on it.
+    """A worker's heartbeat, with the status of its machine and of all tasks on it.
 
-    Of two heartbeats of a host, the one with the larger (``incarnation``, ``sequence_number``) is
-    the newer.
+    Of two heartbeats from the same machine, the newer one has the larger (``incarnation``,
+    ``sequence_number``).
     """
 
     host: str = msgspec.field(name="perch")
@@ -82,7 +82,7 @@
     """Decode a heartbeat.
 
     Raises:
-        BadRequestError: it is malformed.
+        BadRequestError: The body is malformed.
     """
     try:
         heartbeat = _heartbeat_decoder.decode(body)
@@ -94,14 +94,14 @@
 
 
 class StartCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="launch"):
-    """Start an attempt. Without effect if the worker lists that attempt already."""
+    """Start an attempt; no effect if the worker's heartbeats list that attempt already."""
 
     task_id: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="try")
 
 
 class StopCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="halt"):
-    """Stop an attempt, which saves its progress if the grace period suffices."""
+    """Stop an attempt, which saves its progress if it can do so in the grace period."""
 
     task_id: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="try")
@@ -109,7 +109,7 @@
 
 
 class ForgetCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="forget"):
-    """Remove an exited attempt from the heartbeats."""
+    """Remove an exited attempt from the worker's heartbeats."""
 
     task_id: str = msgspec.field(name="leg")
     attempt: int = msgspec.field(name="try")
@@ -119,14 +119,14 @@
 
 
 def heartbeat_response(fencing_token: int, commands: Sequence[Command]) -> dict[str, Any]:
-    """The answer to a heartbeat; it renews the worker's lease."""
+    """Build the response to a heartbeat, which renews the worker's lease."""
     return {"baton": fencing_token, "orders": msgspec.to_builtins(commands)}
 
 
 def command_request(
     fencing_token: int, incarnation: int, commands: Sequence[Command]
 ) -> dict[str, Any]:
-    """Commands sent straight to a worker; they do not renew its lease."""
+    """Build a request that sends commands to a worker; it does not renew the worker's lease."""
     return {
         "baton": fencing_token,
         "flight": incarnation,
@@ -135,5 +135,5 @@
 
 
 def redirect_response(node_name: str | None) -> dict[str, Any]:
-    """Sends a worker to another controller; None if it has to find one by itself."""
+    """Build a response that redirects a worker; with None it must find a controller by itself."""
     return {"home": node_name} if node_name else {}
