--- a/petrelthread/job_api/__init__.py
+++ b/petrelthread/job_api/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP API for users: submit, query and cancel jobs; every controller answers."""
+"""The HTTP API for users to submit, query and cancel jobs; every controller offers it."""
 
 from petrelthread.job_api.handler import JobApi
 from petrelthread.job_api.validation import (
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -1,6 +1,6 @@
 """HTTP routing of users' requests.
 
-No response is held back: what cannot be known now is answered with status 503 at once.
+A request that cannot be answered yet gets status 503 at once instead of waiting.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class JobApi:
-    """Submission, query and cancellation of jobs."""
+    """Routes requests to submit, query and cancel jobs."""
 
     def __init__(
         self,
@@ -28,29 +28,29 @@
         client: StateClient,
         machine_types: Callable[[], tuple[protocol.MachineType, ...] | None],
     ) -> None:
-        """``machine_types``: returns None as long as they are not known."""
+        """``machine_types`` returns None until they are known."""
         self._queries = JobQueries(cluster_state, watch_cache, client)
         self._submission = JobSubmission(
             settings, cluster_state, watch_cache, client, machine_types, self._queries
         )
 
     async def handle(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request whose path is that of the jobs or of one job."""
+        """Answer a request to ``JOBS_PATH`` or a path below it."""
         if path == protocol.JOBS_PATH:
             if method != "POST":
-                return _wrong_method("POST")
+                return _method_not_allowed("POST")
             return await self._submission.submit(body)
         job_id = path[len(protocol.JOBS_PATH) + 1 :]
         if job_id.endswith(protocol.CANCEL_SUFFIX):
             if method != "POST":
-                return _wrong_method("POST")
+                return _method_not_allowed("POST")
             return await self._queries.cancel(job_id[: -len(protocol.CANCEL_SUFFIX)])
         if "/" in job_id:
             return error_response(HTTPStatus.NOT_FOUND, "no such path")
         if method != "GET":
-            return _wrong_method("GET")
+            return _method_not_allowed("GET")
         return await self._queries.query(job_id)
 
 
-def _wrong_method(allowed: str) -> Response:
+def _method_not_allowed(allowed: str) -> Response:
     return error_response(HTTPStatus.METHOD_NOT_ALLOWED, f"use {allowed}")
--- a/petrelthread/job_api/queries.py
+++ b/petrelthread/job_api/queries.py
@@ -23,7 +23,7 @@
 
 
 class JobQueries:
-    """Answers from the cluster state, brought up to date wherever it might be outdated."""
+    """Answers from the cluster state, and refreshes it first where it may be outdated."""
 
     def __init__(
         self, cluster_state: ClusterState, watch_cache: WatchCache, client: StateClient
@@ -33,15 +33,15 @@
         self._client = client
 
     async def query(self, job_id: str) -> Response:
-        """The state of a job, by an id that a user gave."""
+        """Return a job's status; ``job_id`` comes from a user and is validated."""
         if not protocol.JOB_ID.match(job_id):
             return job_not_found()
-        return await self.state_of(job_id)
+        return await self.status_response(job_id)
 
-    async def state_of(self, job_id: str) -> Response:
-        """The state of a job."""
+    async def status_response(self, job_id: str) -> Response:
+        """Return a job's status; ``job_id`` is known to be valid."""
         job = self._cluster_state.jobs_by_id.get(job_id)
-        if job is None or job.final_status is None:  # a final state never changes
+        if job is None or job.final_status is None:  # a final status never changes
             if not await self._watch_cache.refresh():
                 return state_service_unreachable()
             job = self._cluster_state.jobs_by_id.get(job_id)
@@ -53,10 +53,10 @@
         )
 
     async def cancel(self, job_id: str) -> Response:
-        """Cancel a job unless it is in a final state; the response holds the state that counts."""
+        """Cancel a job unless it has a final status; the response holds the final status."""
         if not protocol.JOB_ID.match(job_id):
             return job_not_found()
-        current = await self.state_of(job_id)
+        current = await self.status_response(job_id)
         job = self._cluster_state.jobs_by_id.get(job_id)
         if current.status != HTTPStatus.OK or job is None:
             return current
@@ -64,9 +64,9 @@
             try:
                 await self._write_cancellation(job_id)
             except TransactionConflictError:
-                return await self._final_state_of(job)
+                return await self._final_status_response(job)
             except (StateUnavailableError, StateResultUnknownError, LeaseExpiredError) as error:
-                log.debug("cancellation not written: %s", error)
+                log.debug("cancellation not confirmed by the state service: %s", error)
                 return state_service_unreachable()
             self._cluster_state.set_final_status(job_id, protocol.JobStatus.CANCELLED)
         return json_response(HTTPStatus.OK, protocol.job_response(job_id, job.status))
@@ -78,8 +78,8 @@
             [protocol.PutOperation(key, protocol.JobStatus.CANCELLED)],
         )
 
-    async def _final_state_of(self, job: Job) -> Response:
-        """The state of a job that another write has brought to its final state."""
+    async def _final_status_response(self, job: Job) -> Response:
+        """Return the final status that another transaction wrote for a job."""
         if job.final_status is None:
             await self._watch_cache.refresh()
         if job.final_status is None:
--- a/petrelthread/job_api/responses.py
+++ b/petrelthread/job_api/responses.py
@@ -1,4 +1,4 @@
-"""Responses that several requests of the job API share."""
+"""Responses that are common to several kinds of requests to the job API."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def job_not_found() -> Response:
-    """The job was never accepted."""
+    """Return a 404 response: no job with this id was accepted."""
     return error_response(HTTPStatus.NOT_FOUND, "no such job")
 
 
 def state_service_unreachable() -> Response:
-    """Nothing can be said for sure without the state service."""
+    """Return a 503 response: the request needs the state service."""
     return error_response(
         HTTPStatus.SERVICE_UNAVAILABLE, "state service unreachable", OUTAGE_RETRY_S
     )
--- a/petrelthread/job_api/submission.py
+++ b/petrelthread/job_api/submission.py
@@ -1,4 +1,4 @@
-"""Submission of jobs. A repeated submission is idempotent: it returns the state of the job."""
+"""Submission of jobs. It is idempotent: a repeat returns the status of the existing job."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from petrelthread.job_api.responses import state_service_unreachable
 from petrelthread.job_api.submission_queue import SubmissionOutcome, SubmissionQueue
 from petrelthread.job_api.validation import (
-    RETRY_S,
+    NOT_READY_RETRY_S,
     JobTooLargeError,
     SubmissionRefusedError,
     check_runnable,
@@ -30,7 +30,7 @@
 
 
 class JobSubmission:
-    """Checks submitted jobs and writes those that can run."""
+    """Checks submitted jobs and writes those that can run to the state service."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         machine_types: Callable[[], tuple[protocol.MachineType, ...] | None],
         queries: JobQueries,
     ) -> None:
-        """``machine_types``: returns None as long as they are not known."""
+        """``machine_types`` returns None until they are known."""
         limits = settings.cluster.state
         self._teams = {team.name: team for team in settings.cluster.teams}
         self._max_value_bytes = limits.value_kb * KB
@@ -53,14 +53,14 @@
         self._queue = SubmissionQueue(client, limits.txn_ops)
 
     async def submit(self, body: bytes) -> Response:
-        """Accept a job, or say why not."""
+        """Accept a job, or return a response with the reason why not."""
         try:
             spec = protocol.parse_job(body)
         except protocol.BadRequestError as error:
             return error_response(HTTPStatus.BAD_REQUEST, str(error))
         if spec.job_id in self._cluster_state.jobs_by_id:
-            # An accepted job is never checked again, whatever the repeated request says.
-            return await self._queries.state_of(spec.job_id)
+            # An accepted job is not checked again, even if the repeated request differs.
+            return await self._queries.status_response(spec.job_id)
         value = encode(JobRecord.from_spec(spec, time.time()))
         try:
             self._check(spec, value)
@@ -68,7 +68,7 @@
             return await self._refuse(spec.job_id, error)
         if not self._watch_cache.loaded.is_set():
             return error_response(
-                HTTPStatus.SERVICE_UNAVAILABLE, "still reading the state", RETRY_S
+                HTTPStatus.SERVICE_UNAVAILABLE, "still reading the state", NOT_READY_RETRY_S
             )
         wait_s = self._write_wait_s()
         if wait_s > MAX_WRITE_WAIT_S:
@@ -85,16 +85,16 @@
     async def _refuse(self, job_id: str, error: SubmissionRefusedError) -> Response:
         """Refuse a job unless it was accepted before.
 
-        The watch cache may be outdated, and a job that was accepted must not be refused.
+        The watch cache may not contain an accepted job yet, so it is refreshed first.
         """
         if not await self._watch_cache.refresh():
             return state_service_unreachable()
         if job_id in self._cluster_state.jobs_by_id:
-            return await self._queries.state_of(job_id)
+            return await self._queries.status_response(job_id)
         return error_response(error.status, str(error), error.retry_after_s)
 
     def _write_wait_s(self) -> float:
-        """How long a submission would wait for its turn to be written, in seconds."""
+        """How long a new submission would wait to be written, in seconds."""
         now = asyncio.get_running_loop().time()
         writes = self._client.write_bucket
         return max(writes.wait_time_s(now), 0.0) + len(self._queue) / writes.rate
@@ -105,5 +105,5 @@
             body = protocol.job_response(job_id, protocol.JobStatus.QUEUED)
             return json_response(HTTPStatus.CREATED, body)
         if outcome is SubmissionOutcome.EXISTS:
-            return await self._queries.state_of(job_id)
+            return await self._queries.status_response(job_id)
         return state_service_unreachable()
--- a/petrelthread/job_api/submission_queue.py
+++ b/petrelthread/job_api/submission_queue.py
@@ -1,4 +1,4 @@
-"""Group commit of submitted jobs: many waiting submissions are written in one transaction."""
+"""Group commit of submitted jobs: one transaction writes many waiting submissions."""
 
 from __future__ import annotations
 
@@ -26,59 +26,59 @@
 
 log = logging.getLogger(__name__)
 
-MAX_COMMIT_ATTEMPTS = 3  # of one batch, each after some of its jobs turned out to exist
-MAX_RATE_LIMIT_RETRIES = 3  # of one batch that the state service refuses for its rate alone
+MAX_COMMIT_ATTEMPTS = 3  # for one batch; each retry omits the jobs found to exist
+MAX_RATE_LIMIT_RETRIES = 3  # for one batch that the state service refuses with status 429
 RATE_LIMIT_RETRY_S = 0.2
 MAX_BATCH_BYTES = 60_000
-ENTRY_OVERHEAD_BYTES = 200  # of a submission in a transaction, besides its value
+ENTRY_OVERHEAD_BYTES = 200  # for each submission in a transaction, besides its value
 
 
 class SubmissionOutcome(Enum):
-    """What became of a submission."""
+    """The outcome of a submission."""
 
     CREATED = auto()
     EXISTS = auto()  # the job was accepted before, here or by another controller
-    NOT_WRITTEN = auto()  # it is not known to be written
+    NOT_CONFIRMED = auto()  # not written, or not known to be written
 
 
 @dataclass(frozen=True)
 class _Submission:
-    """A job that waits to be written, and the future that gets the outcome."""
+    """A job that waits to be written, and the future for its outcome."""
 
     job_id: str
     value: list[Any]
-    outcome: asyncio.Future[SubmissionOutcome]
+    future: asyncio.Future[SubmissionOutcome]
 
     @property
     def key(self) -> str:
         return KEY_PREFIX + KeyKind.JOB.key(self.job_id)
 
     def resolve(self, outcome: SubmissionOutcome) -> None:
-        """Set the outcome, unless the one who waited for it was cancelled."""
-        if not self.outcome.done():
-            self.outcome.set_result(outcome)
+        """Set the outcome, unless the task that waits for it was cancelled."""
+        if not self.future.done():
+            self.future.set_result(outcome)
 
 
 class SubmissionQueue:
-    """Writes submitted jobs in the order of their arrival."""
+    """Writes submitted jobs in order of arrival."""
 
     def __init__(self, client: StateClient, max_operations: int) -> None:
-        """``max_operations``: how many writes one transaction may hold."""
+        """``max_operations`` limits the writes in one transaction."""
         self._client = client
         self._max_operations = max_operations
         self._waiting: deque[_Submission] = deque()
-        self._flushing: asyncio.Task[None] | None = None
+        self._flush_task: asyncio.Task[None] | None = None
 
     def __len__(self) -> int:
-        """How many submissions are waiting."""
+        """Number of waiting submissions."""
         return len(self._waiting)
 
     async def create(self, job_id: str, value: list[Any]) -> SubmissionOutcome:
-        """Write a job unless it exists, together with others that are waiting."""
+        """Write a job unless it exists, in one transaction with other waiting jobs."""
         future: asyncio.Future[SubmissionOutcome] = asyncio.get_running_loop().create_future()
         self._waiting.append(_Submission(job_id, value, future))
-        if self._flushing is None or self._flushing.done():
-            self._flushing = asyncio.create_task(self._flush())
+        if self._flush_task is None or self._flush_task.done():
+            self._flush_task = asyncio.create_task(self._flush())
         return await future
 
     async def _flush(self) -> None:
@@ -86,7 +86,7 @@
             await self._commit(self._next_batch())
 
     def _next_batch(self) -> list[_Submission]:
-        """As many waiting submissions as one transaction takes, at least one."""
+        """Dequeue as many waiting submissions as fit in one transaction, at least one."""
         batch: list[_Submission] = []
         size = 0
         while self._waiting and len(batch) < self._max_operations:
@@ -99,7 +99,7 @@
     async def _commit(self, batch: list[_Submission]) -> None:
         """Write a batch and resolve each submission in it."""
         if len({submission.key for submission in batch}) < len(batch):
-            for submission in batch:  # a job stands twice in the batch
+            for submission in batch:  # two submissions of the same job are in the batch
                 await self._commit([submission])
             return
         attempts = rate_limited = 0
@@ -110,19 +110,19 @@
                 attempts += 1
                 batch = _without_existing(batch, conflict.failed_keys)
             except StateRateLimitedError:
-                # All controllers together may exceed the service's burst for a moment. A user who
-                # is turned away for that comes back only after several seconds.
+                # All controllers together may briefly exceed the state service's rate limit. A
+                # user whose submission is refused retries only after several seconds.
                 rate_limited += 1
                 if rate_limited > MAX_RATE_LIMIT_RETRIES:
                     break
                 await asyncio.sleep(RATE_LIMIT_RETRY_S)
             except (StateUnavailableError, StateResultUnknownError, LeaseExpiredError) as error:
-                log.debug("submission not written: %s", error)
+                log.debug("submission not confirmed by the state service: %s", error)
                 break
             else:
                 _resolve(batch, SubmissionOutcome.CREATED)
                 return
-        _resolve(batch, SubmissionOutcome.NOT_WRITTEN)
+        _resolve(batch, SubmissionOutcome.NOT_CONFIRMED)
 
     async def _write(self, batch: list[_Submission]) -> None:
         await self._client.transact(
@@ -139,7 +139,7 @@
 def _without_existing(
     batch: list[_Submission], existing_keys: Collection[str]
 ) -> list[_Submission]:
-    """Resolve the submissions whose jobs exist; the others are left."""
+    """Resolve the submissions whose jobs exist; return the others."""
     remaining = []
     for submission in batch:
         if submission.key in existing_keys:
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -1,4 +1,4 @@
-"""What users may send, and the statuses of the responses."""
+"""Tests of the job API: validation of requests and the statuses of responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def simulation_with_leader() -> Simulation:
-    """Controllers one of which has led for a second."""
+    """Start controllers and wait until one has been the leader for a second."""
     simulation = Simulation()
     await simulation.wait_for_leader()
     await asyncio.sleep(1.0)
@@ -45,19 +45,19 @@
         {"shape": "service", "legs": 0},
     ],
 )
-def test_a_malformed_job_is_400(change: dict[str, Any]) -> None:
+def test_job_with_an_invalid_or_missing_field_is_rejected(change: dict[str, Any]) -> None:
     spec = {k: v for k, v in {**job("wk-000001", 2), **change}.items() if v is not ...}
     with pytest.raises(protocol.BadRequestError):
         protocol.parse_job(orjson.dumps(spec))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b"\xff\xfe", b'{"name_id":1e999}', b"null"])
-def test_a_body_that_is_no_object_is_400(body: bytes) -> None:
+def test_body_that_is_not_a_json_object_is_rejected(body: bytes) -> None:
     with pytest.raises(protocol.BadRequestError):
         protocol.parse_job(body)
 
 
-def test_infinite_amounts_are_400() -> None:
+def test_infinite_amount_is_rejected() -> None:
     body = orjson.dumps(job("wk-000001", 2, cores=7.25)).replace(b"7.25", b"1e999")
     with pytest.raises(protocol.BadRequestError):
         protocol.parse_job(body)
@@ -76,7 +76,7 @@
     ],
     ids=str,
 )
-def test_a_job_that_can_never_run_is_422(change: dict[str, Any]) -> None:
+def test_job_that_can_never_run_gets_422_and_is_not_stored(change: dict[str, Any]) -> None:
     async def main() -> None:
         simulation = await simulation_with_leader()
         status, _ = await simulation.ask("n0", "POST", "/v2/runs", job("wk-000009", 1, **change))
@@ -95,7 +95,7 @@
         ("GET", "/nowhere", 404),
     ],
 )
-def test_unknown_jobs_paths_and_methods_are_404_or_405(
+def test_unknown_jobs_and_paths_get_404_and_wrong_methods_405(
     method: str, path: str, expected: int
 ) -> None:
     async def main() -> None:
@@ -105,14 +105,14 @@
     play(main())
 
 
-def test_one_of_several_submissions_creates_the_job_and_none_is_checked_again() -> None:
+def test_repeated_submissions_create_one_job_and_are_not_checked_again() -> None:
     async def main() -> None:
         simulation = await simulation_with_leader()
         spec = simulation.jobs["wk-000001"] = job("wk-000001", 1)
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(simulation.ask(node, "POST", "/v2/runs", spec) for node in simulation.nodes)
         )
-        assert sorted(status for status, _ in answers) == [200, 200, 201]
+        assert sorted(status for status, _ in responses) == [200, 200, 201]
         status, _ = await simulation.ask(
             "n0", "POST", "/v2/runs", job("wk-000001", 1, team="green")
         )
@@ -121,7 +121,7 @@
     play(main())
 
 
-def test_an_outage_of_the_state_service_is_503_at_once() -> None:
+def test_requests_get_503_at_once_during_an_outage_of_the_state_service() -> None:
     async def main() -> None:
         simulation = await simulation_with_leader()
         simulation.state_service.set_outage(True)
@@ -134,48 +134,48 @@
 
 
 @pytest.mark.parametrize(("refusals", "expected"), [(2, 201), (9, 503)])
-def test_a_write_that_exceeds_the_rate_of_the_state_service_is_retried(
+def test_submission_refused_with_429_by_the_state_service_is_retried_a_few_times(
     refusals: int, expected: int
 ) -> None:
-    """A user who is turned away comes back only after seconds."""
+    """A user whose submission is refused retries only after several seconds."""
 
     async def main() -> None:
         simulation = await simulation_with_leader()
-        handle, left = simulation.state_service.handle, refusals
+        handle, refusals_left = simulation.state_service.handle, refusals
 
-        async def busy(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
-            nonlocal left
-            submission = target == "/multi" and "pt/j/" in str(body)
-            if submission and left:
-                left -= 1
+        async def rate_limited(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
+            nonlocal refusals_left
+            is_submission = target == "/multi" and "pt/j/" in str(body)
+            if is_submission and refusals_left:
+                refusals_left -= 1
                 return 429, {}
             return await handle(source, method, target, body)
 
-        simulation.net.hosts["state:1"] = busy
+        simulation.net.hosts["state:1"] = rate_limited
         simulation.jobs["wk-000001"] = job("wk-000001", 2)
-        asked = asyncio.get_running_loop().time()
+        submitted_at = asyncio.get_running_loop().time()
         status, _ = await simulation.ask("n0", "POST", "/v2/runs", simulation.jobs["wk-000001"])
         assert status == expected
-        assert asyncio.get_running_loop().time() - asked < 1.0  # never held back for long
+        assert asyncio.get_running_loop().time() - submitted_at < 1.0  # retries are limited
 
     play(main())
 
 
-def test_a_description_beyond_the_limit_is_400_unless_it_was_accepted_before() -> None:
-    """The limit may have been larger then, and the job be unknown to this controller so far."""
+def test_too_large_job_gets_400_unless_it_was_accepted_before() -> None:
+    """The limit may have been larger then, and this controller may not know the job yet."""
 
     async def main() -> None:
         simulation = Simulation()
         await simulation.wait_for_leader()
         large = job("wk-000001", 1, image="img-" + "x" * 5000)
-        status, answer = await simulation.ask("n1", "POST", "/v2/runs", large)
+        status, response = await simulation.ask("n1", "POST", "/v2/runs", large)
         assert status == 400
-        assert "too large" in answer["error"]
+        assert "too large" in response["error"]
         spec = protocol.parse_job(orjson.dumps(large))
         stored = encode(JobRecord.from_spec(spec, 0.0))
         simulation.state_service._apply([{"put": "pt/j/wk-000001", "v": stored}])
         for node in ("n1", "n2"):
-            status, answer = await simulation.ask(node, "POST", "/v2/runs", large)
-            assert (status, answer["name_id"]) == (200, "wk-000001")
+            status, response = await simulation.ask(node, "POST", "/v2/runs", large)
+            assert (status, response["name_id"]) == (200, "wk-000001")
 
     play(main())
--- a/petrelthread/job_api/validation.py
+++ b/petrelthread/job_api/validation.py
@@ -1,4 +1,4 @@
-"""Whether a well-formed job can ever run."""
+"""Checks whether a well-formed job can ever run."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 from petrelthread.scheduling import REQUEST_TOLERANCE
 from petrelthread.settings import Team
 
-RETRY_S = 1
+NOT_READY_RETRY_S = 1
 
 
 class SubmissionRefusedError(Exception):
-    """The job is not accepted; the text says why, and ``status`` is that of the response."""
+    """A job is refused; the text gives the reason, ``status`` is the response's status."""
 
     status: HTTPStatus
     retry_after_s: int | None = None
 
 
 class UnschedulableJobError(SubmissionRefusedError):
-    """The job can never run."""
+    """The job can never run in this cluster."""
 
     status = HTTPStatus.UNPROCESSABLE_ENTITY
 
 
 class JobTooLargeError(SubmissionRefusedError):
-    """Its description exceeds what the state service stores in one value."""
+    """The job's record exceeds the state service's limit for one value."""
 
     status = HTTPStatus.BAD_REQUEST
 
 
 class MachineTypesUnknownError(SubmissionRefusedError):
-    """The machine types are not known yet, so it can't be said whether the job can run."""
+    """The machine types are not known yet, so whether the job can run is undecided."""
 
     status = HTTPStatus.SERVICE_UNAVAILABLE
-    retry_after_s = RETRY_S
+    retry_after_s = NOT_READY_RETRY_S
 
 
 def check_runnable(
     spec: JobSpec, teams: dict[str, Team], machine_types: tuple[MachineType, ...] | None
 ) -> None:
-    """Check the job against its team's limit and the machine types.
+    """Check a job against its team's limits and the machine types.
 
     Args:
-        spec: the job.
-        teams: by name.
-        machine_types: None if they are not known yet.
+        spec: Job to check.
+        teams: Teams by name.
+        machine_types: Machine types of the cloud; None if they are not known yet.
 
     Raises:
-        UnschedulableJobError: it can never run.
-        MachineTypesUnknownError: it is within the limit and ``machine_types`` is None.
+        UnschedulableJobError: The job can never run.
+        MachineTypesUnknownError: The job is within the limits and ``machine_types`` is None.
     """
     team = teams.get(spec.team)
     if team is None:
@@ -64,9 +64,9 @@
 
 
 def _check_team_limit(spec: JobSpec, team: Team) -> None:
-    # Of an array one task has to fit the limit: the others can run after it.
-    at_once = 1 if spec.kind == JobKind.ARRAY else spec.task_count
-    cores, accelerators = at_once * spec.cores, at_once * spec.accelerators
+    # One task of an array must fit the limit; the others can run after it.
+    concurrent_tasks = 1 if spec.kind == JobKind.ARRAY else spec.task_count
+    cores, accelerators = concurrent_tasks * spec.cores, concurrent_tasks * spec.accelerators
     if cores > team.most_cores + REQUEST_TOLERANCE:
         raise UnschedulableJobError(
             f"takes {cores:g} cores at once, team limit is {team.cpus_max:g}"
@@ -78,14 +78,14 @@
 
 
 def _is_allowed(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether the job may use machines of the type in some zone that it may use."""
+    """Whether the job may use the machine type, and the type exists in a zone it may use."""
     if spec.machine_types is not None and machine_type.name not in spec.machine_types:
         return False
     return spec.zone is None or spec.zone in machine_type.zones
 
 
 def _fits(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether an empty machine of the type holds one task."""
+    """Whether one task fits on an empty machine of the type."""
     return (
         spec.cores <= machine_type.cores + REQUEST_TOLERANCE
         and spec.accelerators <= machine_type.accelerators + REQUEST_TOLERANCE
