--- a/petrelthread/emulator/__init__.py
+++ b/petrelthread/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated programs around the controllers, a soak with faults, and an invariant checker."""
+"""Emulated programs around the controllers, a soak test with faults, and an invariant checker."""
--- a/petrelthread/emulator/cloud.py
+++ b/petrelthread/emulator/cloud.py
@@ -1,4 +1,4 @@
-"""Emulated cloud: catalogue, idempotent scale-out, scale-in, and a list that lags behind."""
+"""Emulated cloud: catalogue, idempotent scale-out, scale-in, and an eventually consistent list."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 import orjson
 
 from petrelthread import protocol
-from petrelthread.emulator.environment import MachineDescription, SimulatedEnvironment
+from petrelthread.emulator.environment import EmulatedEnvironment, MachineDescription
 from petrelthread.emulator.worker import Worker
 
-LIST_LAG_S = 4.0  # younger machines are not listed yet
+LIST_LAG_S = 4.0  # the list omits machines rented less than this ago
 UNLIMITED_MACHINES = 10**9
 
 
 @dataclass(frozen=True)
 class RentedMachine:
-    """A machine that the cloud has given out."""
+    """A machine that is rented from the cloud."""
 
     description: MachineDescription
     rented_at: float
@@ -28,21 +28,21 @@
 
 
 class Cloud:
-    """Rents out machines of a fixed stock, each with a worker of its own."""
+    """Rents out machines up to a fixed capacity and runs one worker on each."""
 
-    def __init__(self, environment: SimulatedEnvironment) -> None:
+    def __init__(self, environment: EmulatedEnvironment) -> None:
         self._environment = environment
         deployment = environment.deployment
         self.machines: dict[str, RentedMachine] = {}
         self.granted: dict[str, list[str]] = {}  # machine names by idempotency key
         self.requests: dict[str, set[str]] = {}  # distinct request bodies by idempotency key
-        self.capacity = {True: deployment.spot, False: deployment.on_demand}  # by spot or not
+        self.capacity = {True: deployment.spot, False: deployment.on_demand}  # by spot flag
         self.used = {True: 0, False: 0}
         self.rented = 0
         self.down = False
 
     async def handle(self, _source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
-        """Serve one request of any controller."""
+        """Handle one request from any controller."""
         if self.down:
             return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "trouble"}
         url = urlsplit(target)
@@ -54,11 +54,11 @@
             return self._list(parse_qs(url.query).get("from", [""])[0])
         if url.path == protocol.MACHINES_PATH:
             return self._scale_out(body)
-        # Meant for a machine that had this port before.
+        # The request is meant for a machine to which this port belonged before.
         return HTTPStatus.NOT_FOUND, {"error": "no such path"}
 
     def remove(self, name: str) -> None:
-        """The machine is gone with everything on it. Unknown names are ignored."""
+        """Terminate a machine and its worker. An unknown name is ignored."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             self.used[machine.description.spot] -= 1
--- a/petrelthread/emulator/environment.py
+++ b/petrelthread/emulator/environment.py
@@ -1,7 +1,7 @@
-"""Interfaces between the emulated programs, and to what carries their messages.
+"""Interfaces between the emulated programs, and to the network that carries their messages.
 
-Tests carry messages in virtual time within one process; the soak uses sockets of the loopback
-interface in real time. The emulated programs are the same in both.
+Tests deliver messages in virtual time within one process; the soak uses sockets of the loopback
+interface in real time. Both run the same emulated programs.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 from petrelthread.http import ClientResponse
 from petrelthread.settings import Workers
 
-# Serves a request, given its source, method, target and body: the status and body of the response.
+# Handles a request, given its source, method, target and body; returns the response's status and
+# body.
 RequestHandler = Callable[[str, str, str, Any], Awaitable[tuple[int, Any]]]
-# Sends a request to an address. Raises NoResponseError.
+# Sends a request to an address. Raises NoResponseError if no response arrives.
 RequestSender = Callable[..., Awaitable[ClientResponse]]
 
 
 class MachineDescription(NamedTuple):
-    """What does not change about an emulated machine."""
+    """The constant properties of an emulated machine."""
 
     name: str
     address: str
@@ -33,108 +34,108 @@
     """Carries requests between the emulated programs and the controllers."""
 
     def new_address(self, name: str) -> str:
-        """An address for a new machine."""
+        """Return an address for a new machine."""
 
     def attach(self, address: str, name: str, handler: RequestHandler) -> None:
-        """Have ``handler`` serve requests to the address."""
+        """Pass requests to the address on to ``handler``."""
 
     def detach(self, address: str) -> None:
-        """Stop serving requests to the address."""
+        """Stop accepting requests to the address."""
 
     def requester(self, source: str) -> RequestSender:
-        """What sends the requests of ``source``."""
+        """Return the function that sends requests as ``source``."""
 
 
 class Deployment(Protocol):
-    """The controllers, and the machines that the cloud has."""
+    """The controllers, and the capacity of the cloud."""
 
     @property
     def machine_types(self) -> tuple[dict[str, Any], ...]:
-        """The machine types of the cloud's catalogue, as it shows them."""
+        """The machine types, as the cloud's catalogue lists them."""
 
     @property
     def spot(self) -> int:
-        """How many spot machines there are."""
+        """How many spot machines the cloud can rent out at once."""
 
     @property
     def on_demand(self) -> int:
-        """How many on-demand machines there are."""
+        """How many on-demand machines the cloud can rent out at once."""
 
     @property
     def zone_capacity(self) -> int | None:
-        """How many machines a zone has, or None without a limit."""
+        """How many machines a zone can have rented at once; None without a limit."""
 
     @property
     def list_page_size(self) -> int:
-        """How many machines a page of the cloud's list holds."""
+        """The maximum number of machines on one page of the cloud's list."""
 
     @property
     def step_s(self) -> float:
-        """Interval at which workers advance their tasks."""
+        """Interval in seconds at which workers update the states of their tasks."""
 
     @property
     def nodes(self) -> tuple[str, ...]:
         """Names of the controllers."""
 
 
-class SimulatedWorker(Protocol):
+class EmulatedWorker(Protocol):
     """A worker as the invariant checker sees it."""
 
     up: bool
     faulty: bool
 
-    def expire(self) -> None:
+    def enforce_lease(self) -> None:
         """Kill all tasks if the lease has expired."""
 
 
-class SimulatedMachine(Protocol):
+class EmulatedMachine(Protocol):
     """A machine as the invariant checker sees it."""
 
     @property
     def description(self) -> MachineDescription:
-        """Its name, type, zone and kind."""
+        """The machine's name, address, type, zone, and whether it is spot."""
 
     @property
-    def worker(self) -> SimulatedWorker:
-        """The worker that runs on it."""
+    def worker(self) -> EmulatedWorker:
+        """The worker that runs on the machine."""
 
 
-class SimulatedCloud(Protocol):
+class EmulatedCloud(Protocol):
     """The cloud as the invariant checker sees it."""
 
     @property
-    def machines(self) -> Mapping[str, SimulatedMachine]:
-        """The machines that are rented now, by name."""
+    def machines(self) -> Mapping[str, EmulatedMachine]:
+        """The currently rented machines, by name."""
 
 
 class TaskObserver(Protocol):
-    """Told by workers of what happens to tasks, given as ``JOB/INDEX``."""
+    """Receives the workers' events about tasks, which are identified as ``JOB/INDEX``."""
 
     def record_start_command(self, task: str, machine: str, token: int) -> None:
-        """A worker has accepted a start command."""
+        """Record that a worker has accepted a start command."""
 
     def record_start(self, task: str, machine: MachineDescription, now: float) -> None:
-        """A task has begun to run."""
+        """Record that a task runs, its image fetched."""
 
-    def record_leave(self, task: str, machine: str) -> None:
-        """A task is no longer on a machine."""
+    def record_end(self, task: str, machine: str) -> None:
+        """Record that a task no longer runs on a machine."""
 
     def record_completion(self, task: str) -> None:
-        """A task has completed its work."""
+        """Record that a task has completed its work."""
 
 
-class SimulatedEnvironment(Protocol):
-    """Everything that the emulated programs share."""
+class EmulatedEnvironment(Protocol):
+    """What the emulated programs and the invariant checker share."""
 
-    jobs: dict[str, dict[str, Any]]  # as submitted, by id
+    jobs: dict[str, dict[str, Any]]  # JSON objects of the submissions, by job id
     failing_jobs: set[str]  # jobs that fail on every machine
-    limits: dict[str, float]  # cores by team
-    boot_delay_s: float  # by how much machines rented now boot late
+    limits: dict[str, float]  # maximum cores, by team
+    boot_delay_s: float  # additional boot time of machines rented from now on
     random: random.Random
 
     @property
     def deployment(self) -> Deployment:
-        """The controllers and machines."""
+        """The controllers and the capacity of the cloud."""
 
     @property
     def net(self) -> Network:
@@ -142,21 +143,21 @@
 
     @property
     def checker(self) -> TaskObserver:
-        """Checks what the workers do."""
+        """The invariant checker, as the workers see it."""
 
     @property
     def workers(self) -> Workers:
-        """The settings that workers and controllers share."""
+        """The timing settings that workers and controllers share."""
 
     @property
-    def cloud(self) -> SimulatedCloud:
+    def cloud(self) -> EmulatedCloud:
         """The emulated cloud."""
 
     def background(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run something as a task of its own."""
+        """Run a coroutine as a background task."""
 
     def public_address(self, node: str) -> str:
-        """Where workers and users reach a controller."""
+        """The address at which a controller accepts requests of workers and users."""
 
     def task_fails(self, task: str, /) -> bool:
         """Whether the task fails on every machine."""
--- a/petrelthread/emulator/faults.py
+++ b/petrelthread/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: their kinds, the schedule that a seed draws, and their effect on links."""
+"""Faults of a soak: their kinds, the schedule drawn from a seed, and their effect on links."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from enum import Enum
 from typing import NamedTuple
 
-STATE, CLOUD = "state", "cloud"  # names of the two services on links
-# Delay of late messages: half of them come within 3 s, one in six after the time limit of a
+STATE, CLOUD = "state", "cloud"  # names of the two services in links
+# Delay of late messages: half of them arrive within 3 s, one in six after the time limit of a
 # cancellation, one in twenty after more than two minutes.
 MIN_DELAY_S, MAX_DELAY_S = 0.8, 300.0
-DELAY_TAIL = 0.6  # exponent of the Pareto distribution
-MIN_HELD_S = 18.0  # held commands are delayed beyond the time limit of a cancellation
-DELAYED_SHARE = 0.5  # of the late writes that are carried out late; the others only lose the answer
+DELAY_PARETO_SHAPE = 0.6  # shape parameter of the Pareto distribution of delays
+MIN_HELD_S = 18.0  # delay of held commands: beyond the time limit of a cancellation
+DELAYED_SHARE = 0.5  # of the late writes that are delayed; the others only lose their response
 
 
 class FaultKind(Enum):
-    """Kinds of faults. Values are shown in a soak's results."""
+    """Kinds of faults. A soak prints their values in its results."""
 
     KILL_CONTROLLER = "kill"
     KILL_ALL = "kill-all"
@@ -30,7 +30,7 @@
     STATE_OUTAGE = "state-outage"
     LATE_WRITES = "late-writes"
     LATE_COMMANDS = "late-commands"
-    LATE_REPORTS = "late-reports"
+    LATE_HEARTBEATS = "late-reports"
     CLOUD_OUTAGE = "cloud-outage"
     MACHINES_DIE = "machines-die"
     MACHINE_HANGS = "machine-hangs"
@@ -41,7 +41,7 @@
     ZONE_CUT = "zone-cut"
 
 
-# Shortest and longest duration in seconds; of a kill, until the process is started again.
+# Shortest and longest duration in seconds. A kill lasts until the process is started again.
 DURATION_S: dict[FaultKind, tuple[float, float]] = {
     FaultKind.KILL_CONTROLLER: (0.1, 3.0),
     FaultKind.KILL_ALL: (0.1, 4.0),
@@ -53,7 +53,7 @@
     FaultKind.STATE_OUTAGE: (0.5, 8.0),
     FaultKind.LATE_WRITES: (4.0, 12.0),
     FaultKind.LATE_COMMANDS: (4.0, 12.0),
-    FaultKind.LATE_REPORTS: (4.0, 12.0),
+    FaultKind.LATE_HEARTBEATS: (4.0, 12.0),
     FaultKind.CLOUD_OUTAGE: (1.0, 5.0),
     FaultKind.MACHINES_DIE: (0.0, 0.0),
     FaultKind.MACHINE_HANGS: (0.5, 10.0),
@@ -66,29 +66,30 @@
 
 
 class Fault(NamedTuple):
-    """One fault. Times are in seconds since the start."""
+    """One scheduled fault. ``begins_s`` is in seconds since the start of the soak."""
 
     kind: FaultKind
     begins_s: float
     lasts_s: float
-    draw: float  # 0 to 1: selects the target
+    target_draw: float  # random number from 0 to 1 that selects the target
 
 
-# Late messages are most dangerous if the leader changes before they arrive.
-LATE_KINDS = (FaultKind.LATE_WRITES, FaultKind.LATE_COMMANDS, FaultKind.LATE_REPORTS)
+# Late messages are most dangerous if the leader changes before they arrive, so many of these faults
+# come with a leader loss.
+LATE_KINDS = (FaultKind.LATE_WRITES, FaultKind.LATE_COMMANDS, FaultKind.LATE_HEARTBEATS)
 LEADER_LOSSES = (
     FaultKind.KILL_CONTROLLER,
     FaultKind.PAUSE_CONTROLLER,
     FaultKind.CUT_FROM_STATE_AND_PEERS,
 )
-LEADER_LOSS_SHARE = 0.6  # of late messages during which the leader is lost
-LEADER_DRAW = 0.0  # selects the leader, if there is one
-# A new leader invalidates what its predecessor sent; a leader that stays must do so by itself. In
-# this share of the seeds no fault affects controllers or the state service.
+LEADER_LOSS_SHARE = 0.6  # of the faults of LATE_KINDS during which the leader is lost
+LEADER_DRAW = 0.0  # target_draw that selects the leader, if there is one
+# A new leader invalidates the messages of its predecessor; a leader that stays must invalidate its
+# own late messages. In this share of the seeds no fault affects controllers or the state service.
 LEADER_STAYS_SHARE = 0.5
 LEADER_STAYS_KINDS = (
     FaultKind.LATE_COMMANDS,
-    FaultKind.LATE_REPORTS,
+    FaultKind.LATE_HEARTBEATS,
     FaultKind.CLOUD_OUTAGE,
     FaultKind.MACHINES_DIE,
     FaultKind.MACHINE_HANGS,
@@ -99,7 +100,7 @@
 
 
 def draw_faults(randomness: random.Random, seconds: float, every_s: float) -> list[Fault]:
-    """Draw faults for some seconds, one each ``every_s`` in the mean. All end in time."""
+    """Draw faults at a mean interval of ``every_s``. All of them end within ``seconds``."""
     faults = []
     at = randomness.uniform(1.0, 2 * every_s)
     leader_stays = randomness.random() < LEADER_STAYS_SHARE
@@ -111,7 +112,7 @@
         if fault.kind in LATE_KINDS and leader_lost:
             lost_at = at + randomness.uniform(0.2, 1.0) * fault.lasts_s
             loss = _draw_fault(randomness, randomness.choice(LEADER_LOSSES), lost_at, seconds)
-            faults.append(loss._replace(draw=LEADER_DRAW))
+            faults.append(loss._replace(target_draw=LEADER_DRAW))
         at += randomness.expovariate(1.0 / every_s)
     return faults
 
@@ -123,68 +124,69 @@
     return Fault(kind, begins_s, lasts_s, randomness.random())
 
 
-class Fate(NamedTuple):
-    """What happens to one request."""
+class Delivery(NamedTuple):
+    """How one request and its response are delivered."""
 
     lost: bool = False
     delay_s: float = 0.0
     answer_lost: bool = False
 
 
-DELIVERED = Fate()
+DELIVERED = Delivery()
 
 
-def draw_late_s(randomness: random.Random) -> float:
-    """Delay of a late message in seconds: long-tailed, up to several minutes."""
-    return min(MAX_DELAY_S, MIN_DELAY_S * randomness.paretovariate(DELAY_TAIL))
+def draw_delay_s(randomness: random.Random) -> float:
+    """Draw the delay of a late message in seconds: heavy-tailed, up to ``MAX_DELAY_S``."""
+    return min(MAX_DELAY_S, MIN_DELAY_S * randomness.paretovariate(DELAY_PARETO_SHAPE))
 
 
 @dataclass
 class LinkFaults:
-    """Present faults of links, given by the names of controllers, machines and services."""
+    """The current faults of links, by the names of controllers, machines and services."""
 
     randomness: random.Random
     cut: set[frozenset[str]] = field(default_factory=set)
-    # Machines with one-way partitions.
+    # Machines with asymmetric partitions.
     not_receiving: set[str] = field(default_factory=set)
     not_sending: set[str] = field(default_factory=set)
-    # Machines with working heartbeats to which direct commands are held until the given instant.
+    # By machine, the loop time until which direct commands to it are held. Its heartbeats are not
+    # affected.
     commands_held_until: dict[str, float] = field(default_factory=dict)
-    late_writes: float = 0.0  # share of the messages, as below
-    late_commands: float = 0.0
-    late_reports: float = 0.0
+    late_writes: float = 0.0  # share of transactions that are delayed or lose their response
+    late_commands: float = 0.0  # share of direct commands that are delayed, without a response
+    late_heartbeats: float = 0.0  # share of heartbeats of which a late duplicate arrives
 
-    def fate(self, source: str, destination: str, target: str) -> Fate:
-        """What happens to a request to a service or a machine."""
+    def delivery(self, source: str, destination: str, target: str) -> Delivery:
+        """Decide how a request to a service or a machine is delivered."""
         lost = destination in self.not_receiving or source in self.not_sending
         if lost or frozenset((source, destination)) in self.cut:
-            return Fate(lost=True)
-        chance = self.randomness.random()
-        if destination == STATE and target == "/multi" and chance < self.late_writes:
+            return Delivery(lost=True)
+        draw = self.randomness.random()
+        if destination == STATE and target == "/multi" and draw < self.late_writes:
             late = self.randomness.random() < DELAYED_SHARE
-            delay_s = draw_late_s(self.randomness) if late else 0.0
-            return Fate(delay_s=delay_s, answer_lost=True)
+            delay_s = draw_delay_s(self.randomness) if late else 0.0
+            return Delivery(delay_s=delay_s, answer_lost=True)
         if target == "/do" and destination in self.commands_held_until:
             now = asyncio.get_running_loop().time()
             delay_s = max(MIN_HELD_S, self.commands_held_until[destination] - now)
-            return Fate(delay_s=delay_s, answer_lost=True)
-        if target == "/do" and chance < self.late_commands:
-            return Fate(delay_s=draw_late_s(self.randomness), answer_lost=True)
+            return Delivery(delay_s=delay_s, answer_lost=True)
+        if target == "/do" and draw < self.late_commands:
+            return Delivery(delay_s=draw_delay_s(self.randomness), answer_lost=True)
         if source in self.not_receiving or destination in self.not_sending:
-            # A machine that cannot send still answers on connections that others have opened.
-            return Fate(answer_lost=source in self.not_receiving)
+            # A machine in ``not_sending`` still responds on connections that others have opened.
+            return Delivery(answer_lost=source in self.not_receiving)
         return DELIVERED
 
-    def copy_delay_s(self, target: str) -> float | None:
-        """After how many seconds a copy of the request arrives again, or None."""
-        if target == "/checkin" and self.randomness.random() < self.late_reports:
-            return draw_late_s(self.randomness)
+    def duplicate_delay_s(self, target: str) -> float | None:
+        """After how many seconds a duplicate of the request arrives; None without a duplicate."""
+        if target == "/checkin" and self.randomness.random() < self.late_heartbeats:
+            return draw_delay_s(self.randomness)
         return None
 
-    def heal(self) -> None:
+    def clear_all(self) -> None:
         """End all faults of links."""
         self.cut.clear()
         self.not_receiving.clear()
         self.not_sending.clear()
         self.commands_held_until.clear()
-        self.late_writes = self.late_commands = self.late_reports = 0.0
+        self.late_writes = self.late_commands = self.late_heartbeats = 0.0
--- a/petrelthread/emulator/injector.py
+++ b/petrelthread/emulator/injector.py
@@ -1,4 +1,4 @@
-"""Applies the faults of a soak to processes, services, machines and links."""
+"""Injects the faults of a soak into processes, services, machines and links."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     from petrelthread.emulator.processes import ControllerProcess
     from petrelthread.emulator.worker import Worker
 
-LEADER_SHARE = 0.6  # of the faults of a controller that hit the leader
-MESSAGE_SHARE = 0.4  # of the messages that a fault of links affects
-MAX_DYING = 3  # machines that die at once
-MAX_HELD = 6  # machines to which commands are held at once
+LEADER_SHARE = 0.6  # of the faults of one controller that target the leader
+MESSAGE_SHARE = 0.4  # of the messages that are affected while messages are late
+MAX_DYING_MACHINES = 3  # machines that one fault terminates
+MAX_HELD_MACHINES = 6  # machines to which one fault holds commands
 
 FaultAction = Callable[[Fault], Awaitable[None]]
 
 
 class FaultInjector:
-    """Applies faults to one environment. Each fault is undone when it ends."""
+    """Injects faults into one environment and undoes each fault when it ends."""
 
     def __init__(self, environment: LoopbackEnvironment) -> None:
         self._environment = environment
-        self.played: Counter[str] = Counter()
-        self._down: set[str] = set()  # controllers that must not be restarted now
+        self.fault_counts: Counter[str] = Counter()
+        self._killed: set[str] = set()  # controllers not to be restarted before their fault ends
         self._actions: dict[FaultKind, FaultAction] = {
             FaultKind.KILL_CONTROLLER: self._kill_one,
             FaultKind.KILL_ALL: self._kill_all,
@@ -36,88 +36,88 @@
             FaultKind.CUT_FROM_STATE: self._cut_from_state,
             FaultKind.CUT_FROM_STATE_AND_PEERS: self._cut_from_state_and_peers,
             FaultKind.CUT_FROM_PEERS: self._cut_from_peers,
-            FaultKind.REFUSED_BY_STATE: self._refuse,
+            FaultKind.REFUSED_BY_STATE: self._refuse_at_state,
             FaultKind.STATE_OUTAGE: self._state_outage,
             FaultKind.CLOUD_OUTAGE: self._cloud_outage,
-            FaultKind.LATE_WRITES: self._late("late_writes"),
-            FaultKind.LATE_COMMANDS: self._late("late_commands"),
-            FaultKind.LATE_REPORTS: self._late("late_reports"),
+            FaultKind.LATE_WRITES: self._delay_messages("late_writes"),
+            FaultKind.LATE_COMMANDS: self._delay_messages("late_commands"),
+            FaultKind.LATE_HEARTBEATS: self._delay_messages("late_heartbeats"),
             FaultKind.MACHINES_DIE: self._machines_die,
-            FaultKind.MACHINE_HANGS: self._flag("frozen"),
-            FaultKind.MACHINE_FAULTY: self._flag("faulty"),
-            FaultKind.MACHINE_NOT_RECEIVING: self._machine_links("not_receiving"),
-            FaultKind.MACHINE_NOT_SENDING: self._machine_links("not_sending"),
+            FaultKind.MACHINE_HANGS: self._set_worker_flag("frozen"),
+            FaultKind.MACHINE_FAULTY: self._set_worker_flag("faulty"),
+            FaultKind.MACHINE_NOT_RECEIVING: self._partition_machine("not_receiving"),
+            FaultKind.MACHINE_NOT_SENDING: self._partition_machine("not_sending"),
             FaultKind.COMMANDS_HELD: self._hold_commands,
             FaultKind.ZONE_CUT: self._zone_cut,
         }
 
-    async def play(self, fault: Fault, started_at: float) -> None:
-        """Wait until the fault begins, apply it, and undo it when it ends."""
+    async def inject(self, fault: Fault, started_at: float) -> None:
+        """Wait until the fault begins, inject it, and undo it when it ends."""
         now = asyncio.get_running_loop().time()
         await asyncio.sleep(max(0.0, started_at + fault.begins_s - now))
-        self.played[fault.kind.value] += 1
+        self.fault_counts[fault.kind.value] += 1
         await self._actions[fault.kind](fault)
 
-    def watch(self) -> None:
-        """Restart controllers that exited by themselves."""
+    def restart_exited_controllers(self) -> None:
+        """Restart controllers that exited without being killed."""
         for controller in self._environment.controllers:
-            if controller.name not in self._down:
-                controller.watch()
+            if controller.name not in self._killed:
+                controller.restart_if_exited()
 
-    def _controller(self, fault: Fault) -> ControllerProcess:
-        """The controller that the fault hits, which is mostly the leader."""
+    def _target_controller(self, fault: Fault) -> ControllerProcess:
+        """The controller that the fault affects: the leader in ``LEADER_SHARE`` of the cases."""
         controllers = self._environment.controllers
-        if fault.draw < LEADER_SHARE:
+        if fault.target_draw < LEADER_SHARE:
             leader = self._environment.leader
             for controller in controllers:
                 if controller.name == leader:
                     return controller
-        return controllers[int(fault.draw * len(controllers))]
+        return controllers[int(fault.target_draw * len(controllers))]
 
-    def _workers(self) -> list[Worker]:
+    def _running_workers(self) -> list[Worker]:
         machines = self._environment.cloud.machines.values()
         return [machine.worker for machine in machines if machine.worker.up]
 
-    def _worker(self, fault: Fault) -> Worker | None:
-        workers = self._workers()
-        return workers[int(fault.draw * len(workers))] if workers else None
+    def _target_worker(self, fault: Fault) -> Worker | None:
+        workers = self._running_workers()
+        return workers[int(fault.target_draw * len(workers))] if workers else None
 
     # ---- processes ---------------------------------------------------------------------------
 
     async def _kill(self, controllers: list[ControllerProcess], lasts_s: float) -> None:
-        ending = [c for c in controllers if c.name not in self._down]
-        self._down |= {c.name for c in ending}
-        for controller in ending:
+        killed = [c for c in controllers if c.name not in self._killed]
+        self._killed |= {c.name for c in killed}
+        for controller in killed:
             controller.kill()
         await asyncio.sleep(lasts_s)
-        self._down -= {c.name for c in ending}
-        for controller in ending:
+        self._killed -= {c.name for c in killed}
+        for controller in killed:
             controller.start()
 
     async def _kill_one(self, fault: Fault) -> None:
-        await self._kill([self._controller(fault)], fault.lasts_s)
+        await self._kill([self._target_controller(fault)], fault.lasts_s)
 
     async def _kill_all(self, fault: Fault) -> None:
         await self._kill(self._environment.controllers, fault.lasts_s)
 
     async def _pause(self, fault: Fault) -> None:
-        controller = self._controller(fault)
+        controller = self._target_controller(fault)
         controller.pause()
         await asyncio.sleep(fault.lasts_s)
         controller.resume()
 
     # ---- services ----------------------------------------------------------------------------
 
-    async def _refuse(self, fault: Fault) -> None:
-        name = self._controller(fault).name
-        self._environment.store.refused.add(name)
+    async def _refuse_at_state(self, fault: Fault) -> None:
+        name = self._target_controller(fault).name
+        self._environment.state_service.refused.add(name)
         await asyncio.sleep(fault.lasts_s)
-        self._environment.store.refused.discard(name)
+        self._environment.state_service.refused.discard(name)
 
     async def _state_outage(self, fault: Fault) -> None:
-        self._environment.store.set_outage(True)
+        self._environment.state_service.set_outage(True)
         await asyncio.sleep(fault.lasts_s)
-        self._environment.store.set_outage(False)
+        self._environment.state_service.set_outage(False)
 
     async def _cloud_outage(self, fault: Fault) -> None:
         self._environment.cloud.down = True
@@ -126,7 +126,7 @@
 
     # ---- links -------------------------------------------------------------------------------
 
-    async def _cut(self, links: set[frozenset[str]], lasts_s: float) -> None:
+    async def _cut_links(self, links: set[frozenset[str]], lasts_s: float) -> None:
         cut = self._environment.faults.cut
         new = links - cut
         cut |= new
@@ -138,16 +138,22 @@
         return {frozenset((name, other)) for other in names if other != name}
 
     async def _cut_from_state(self, fault: Fault) -> None:
-        await self._cut({frozenset((self._controller(fault).name, STATE))}, fault.lasts_s)
+        await self._cut_links(
+            {frozenset((self._target_controller(fault).name, STATE))}, fault.lasts_s
+        )
 
     async def _cut_from_peers(self, fault: Fault) -> None:
-        await self._cut(self._links_to_peers(self._controller(fault).name), fault.lasts_s)
+        await self._cut_links(
+            self._links_to_peers(self._target_controller(fault).name), fault.lasts_s
+        )
 
     async def _cut_from_state_and_peers(self, fault: Fault) -> None:
-        name = self._controller(fault).name
-        await self._cut(self._links_to_peers(name) | {frozenset((name, STATE))}, fault.lasts_s)
+        name = self._target_controller(fault).name
+        await self._cut_links(
+            self._links_to_peers(name) | {frozenset((name, STATE))}, fault.lasts_s
+        )
 
-    def _late(self, attribute: str) -> FaultAction:
+    def _delay_messages(self, attribute: str) -> FaultAction:
         async def apply(fault: Fault) -> None:
             setattr(self._environment.faults, attribute, MESSAGE_SHARE)
             await asyncio.sleep(fault.lasts_s)
@@ -158,14 +164,14 @@
     # ---- machines ----------------------------------------------------------------------------
 
     async def _machines_die(self, fault: Fault) -> None:
-        for _ in range(1 + int(fault.draw * MAX_DYING)):
-            worker = self._worker(fault)
+        for _ in range(1 + int(fault.target_draw * MAX_DYING_MACHINES)):
+            worker = self._target_worker(fault)
             if worker is not None:
                 self._environment.cloud.remove(worker.name)
 
-    def _flag(self, attribute: str) -> FaultAction:
+    def _set_worker_flag(self, attribute: str) -> FaultAction:
         async def apply(fault: Fault) -> None:
-            worker: Any = self._worker(fault)
+            worker: Any = self._target_worker(fault)
             if worker is None:
                 return
             setattr(worker, attribute, True)
@@ -174,38 +180,38 @@
 
         return apply
 
-    def _machine_links(self, attribute: str) -> FaultAction:
+    def _partition_machine(self, attribute: str) -> FaultAction:
         async def apply(fault: Fault) -> None:
-            worker = self._worker(fault)
+            worker = self._target_worker(fault)
             if worker is None:
                 return
-            await self._on_links(attribute, {worker.name}, fault.lasts_s)
+            await self._partition(attribute, {worker.name}, fault.lasts_s)
 
         return apply
 
     async def _hold_commands(self, fault: Fault) -> None:
-        """Delay direct commands to some machines whose heartbeats are not affected."""
+        """Hold direct commands to some machines. Their heartbeats are not affected."""
         loop, held_until = asyncio.get_running_loop(), self._environment.faults.commands_held_until
-        workers = self._workers()
-        first = int(fault.draw * len(workers))
-        names = [worker.name for worker in workers[first : first + MAX_HELD]]
+        workers = self._running_workers()
+        first = int(fault.target_draw * len(workers))
+        names = [worker.name for worker in workers[first : first + MAX_HELD_MACHINES]]
         held_until.update(dict.fromkeys(names, loop.time() + fault.lasts_s))
         await asyncio.sleep(fault.lasts_s)
         for name in names:
             held_until.pop(name, None)
 
     async def _zone_cut(self, fault: Fault) -> None:
-        zones = sorted({worker.machine.zone for worker in self._workers()})
+        zones = sorted({worker.machine.zone for worker in self._running_workers()})
         if not zones:
             return
-        zone = zones[int(fault.draw * len(zones))]
-        names = {w.name for w in self._workers() if w.machine.zone == zone}
+        zone = zones[int(fault.target_draw * len(zones))]
+        names = {w.name for w in self._running_workers() if w.machine.zone == zone}
         await asyncio.gather(
-            self._on_links("not_receiving", names, fault.lasts_s),
-            self._on_links("not_sending", names, fault.lasts_s),
+            self._partition("not_receiving", names, fault.lasts_s),
+            self._partition("not_sending", names, fault.lasts_s),
         )
 
-    async def _on_links(self, attribute: str, names: set[str], lasts_s: float) -> None:
+    async def _partition(self, attribute: str, names: set[str], lasts_s: float) -> None:
         affected: set[str] = getattr(self._environment.faults, attribute)
         new = names - affected
         affected |= new
--- a/petrelthread/emulator/invariant_checker.py
+++ b/petrelthread/emulator/invariant_checker.py
@@ -1,7 +1,7 @@
-"""Checks of PROTOCOL's rules as a black box: by what workers do and what users are told.
+"""Black-box checks of PROTOCOL's rules, from workers' events and users' responses.
 
-The state service is looked at for one purpose: starts must be recorded before they happen, and none
-may be recorded for a job that is over.
+Writes to the state service are examined for two rules only: a start is recorded before it happens,
+and no start is recorded for a job that has its final status.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 import msgspec
 
 from petrelthread import protocol
-from petrelthread.emulator.environment import MachineDescription, SimulatedEnvironment
+from petrelthread.emulator.environment import EmulatedEnvironment, MachineDescription
 from petrelthread.emulator.state_service import JsonValue, Keys
 
-MAX_OBSERVATIONS = 40  # kept for each job
-ROUND_KEYS = "pt/r/"
-FINAL_KEYS = "pt/f/"
+MAX_OBSERVATIONS = 40  # latest observations kept for each job
+ROUND_KEY_PREFIX = "pt/r/"
+FINAL_KEY_PREFIX = "pt/f/"
 FINAL_STATUSES = ("done", "aborted")
-MAX_ANSWER_GAP_S = 75.0  # without an answer about an accepted job once all faults are over
-MAX_WAIT_S = 90.0  # of a job that fits a machine and its team's quota once all faults are over
+MAX_ANSWER_GAP_S = 75.0  # without a response about an accepted job after the last fault
+MAX_WAIT_S = 90.0  # of a job that fits a machine and its team's quota, after the last fault
 
 
 class _WaitingJob(NamedTuple):
-    """A job with waiting tasks, since the last change that could explain the wait."""
+    """A job with waiting tasks, and since when no change explains why they wait."""
 
     since: float
     started_tasks: int
-    fitting_machines: set[str]  # that had room all the time
+    fitting_machines: set[str]  # machines that have had room for a task since then
 
 
 def job_id_of(task: str) -> str:
@@ -40,28 +40,28 @@
 
 
 class InvariantChecker:
-    """Records events as they happen, and collects violations of the rules."""
+    """Records events as they happen and collects violations of the rules."""
 
-    def __init__(self, environment: SimulatedEnvironment) -> None:
+    def __init__(self, environment: EmulatedEnvironment) -> None:
         self._environment = environment
         self.machines_by_task: dict[str, set[str]] = {}
-        self.used_cores: dict[str, float] = {}  # of running tasks, by team
+        self.used_cores: dict[str, float] = {}  # by running tasks, by team
         self.completed_tasks: set[str] = set()
-        self.started_at: dict[str, float] = {}  # first start by task
+        self.started_at: dict[str, float] = {}  # time of the first start, by task
         self.start_count = 0
-        self.cancelled_at: dict[str, float] = {}  # when the user was told, by job
+        self.cancelled_at: dict[str, float] = {}  # when the user received the confirmation, by job
         self.cancel_requested: set[str] = set()
-        self.statuses: dict[str, str] = {}  # last one that users were told, by job
+        self.statuses: dict[str, str] = {}  # the last status that a user received, by job
         self.faults_ended_at: float | None = None
         self.violations: list[str] = []
-        self.recorded_tasks: set[str] = set()  # tasks whose start was ever recorded
+        self.recorded_tasks: set[str] = set()  # tasks with a start recorded in the state service
         self._waiting: dict[str, _WaitingJob] = {}
-        self._answered_at: dict[str, float] = {}
+        self._last_answer_at: dict[str, float] = {}
         self._zones: dict[str, str] = {}  # by machine
         self._observations: dict[str, deque[str]] = {}  # by job
 
     def evidence(self, violation: str) -> list[str]:
-        """What was observed of the jobs that a violation names."""
+        """The latest observations about the jobs that a violation names."""
         return [
             line
             for job_id, lines in self._observations.items()
@@ -70,19 +70,19 @@
         ]
 
     def record_put(self, key: str, value: JsonValue, keys: Keys) -> None:
-        """A controller has written a key of the state service."""
-        if not key.startswith(ROUND_KEYS):
+        """Record the starts that a controller writes; none may be of a job that is finished."""
+        if not key.startswith(ROUND_KEY_PREFIX):
             return
         for machine, _, jobs in value:
             for job_id, tasks in jobs:
-                if machine and f"{FINAL_KEYS}{job_id}" in keys:
+                if machine and f"{FINAL_KEY_PREFIX}{job_id}" in keys:
                     self.violations.append(f"started when over: {job_id} by {key}")
                 self.recorded_tasks |= {f"{job_id}/{task}" for task in tasks}
 
     def record_start_command(self, task: str, machine: str, token: int) -> None:
-        """A worker has accepted a start. With the image cached, the task would run at once."""
+        """Check an accepted start command: with a cached image, the task would run at once."""
         now = asyncio.get_running_loop().time()
-        self._observe(task, f"{machine}: told to start {task}, token {token}")
+        self._observe(task, f"{machine}: accepted the start of {task}, token {token}")
         at = self.cancelled_at.get(job_id_of(task))
         if at is not None and now > at + self._environment.workers.cancel_s:
             self.violations.append(
@@ -90,16 +90,17 @@
             )
 
     def record_start(self, task: str, machine: MachineDescription, now: float) -> None:
-        """The task has its image and runs on the machine."""
+        """Record that the task runs on the machine, its image fetched."""
         self.start_count += 1
         name = machine.name
         job = self._job(task)
         limit = self._environment.limits[job.team]
         over_limit = self.used_cores.get(job.team, 0.0) + job.cores > limit
         if over_limit or self.machines_by_task.get(task):
-            # A hanging worker kills its tasks only when it goes on, but then by its lease.
+            # A hanging worker kills its tasks only when it resumes, but its first action then is to
+            # enforce its lease: tasks with an expired lease no longer count as running.
             for other in list(self._environment.cloud.machines.values()):
-                other.worker.expire()
+                other.worker.enforce_lease()
         if self.machines_by_task.get(task):
             others = self.machines_by_task[task]
             self.violations.append(f"ran_twice: {task} on {name} and {others} at {now:.1f}")
@@ -109,7 +110,7 @@
         self.used_cores[job.team] = self.used_cores.get(job.team, 0.0) + job.cores
         self.started_at.setdefault(task, now)
         self._zones[name] = machine.zone
-        self._observe(task, f"{name} ({machine.zone}): {task} has its image and is on")
+        self._observe(task, f"{name} ({machine.zone}): {task} runs, its image fetched")
         reason = self._misplacement(task, job, machine)
         if reason:
             self.violations.append(f"wrong_place: {task} on {name} at {now:.1f}: {reason}")
@@ -118,21 +119,21 @@
         if self.cancelled_at:
             self.check_cancellations()
 
-    def record_leave(self, task: str, machine: str) -> None:
-        """The task is no longer on the machine: it ended, was killed, or the machine is gone."""
+    def record_end(self, task: str, machine: str) -> None:
+        """Record that the task no longer runs: it exited or was killed, or its machine is gone."""
         machines = self.machines_by_task.get(task, set())
         if machine in machines:
             machines.remove(machine)
-            self._observe(task, f"{machine}: {task} has left")
+            self._observe(task, f"{machine}: {task} no longer runs")
             job = self._job(task)
             self.used_cores[job.team] -= job.cores
 
     def record_completion(self, task: str) -> None:
-        """The task has completed its work."""
+        """Record that the task has completed its work."""
         self.completed_tasks.add(task)
 
     def record_answer(self, job_id: str, http_status: int, answer: dict[str, Any]) -> None:
-        """A user got an answer about the job."""
+        """Record and check a response that a user received about the job."""
         self._observe(job_id, f"user: {http_status} {answer.get('status', '')}")
         if http_status == HTTPStatus.NOT_FOUND:
             if job_id in self.statuses:
@@ -140,38 +141,38 @@
             return
         if http_status not in (HTTPStatus.OK, HTTPStatus.CREATED):
             return
-        self._answered_at[job_id] = asyncio.get_running_loop().time()
+        self._last_answer_at[job_id] = asyncio.get_running_loop().time()
         if job_id not in self._environment.jobs:
             self.violations.append(f"invented: {job_id}")
         self._check_status_change(job_id, answer["status"])
         self.statuses[job_id] = answer["status"]
 
     def check_cancellations(self) -> None:
-        """No task of a job runs ``cancel_s`` after its user was told that it is cancelled."""
+        """Check that no task of a job runs ``cancel_s`` after its cancellation was confirmed."""
         now = asyncio.get_running_loop().time()
         for task, machines in self.machines_by_task.items():
             at = self.cancelled_at.get(job_id_of(task))
             if machines and at is not None and now > at + self._environment.workers.cancel_s:
                 self.violations.append(f"ran_cancelled: {task} at {now:.1f}")
 
-    def check_answers(self, asked_about: Collection[str] | None = None) -> None:
-        """Once all faults are over, users get answers about each accepted job.
+    def check_answers(self, polled_jobs: Collection[str] | None = None) -> None:
+        """Check that users get responses about each accepted job after the last fault.
 
         Args:
-            asked_about: The jobs whose users go on asking; None for all.
+            polled_jobs: The jobs whose users still poll; None for all.
         """
         now = asyncio.get_running_loop().time()
-        for job_id in self.statuses if asked_about is None else asked_about:
+        for job_id in self.statuses if polled_jobs is None else polled_jobs:
             if job_id not in self.statuses:
                 continue
-            since = max(self._answered_at[job_id], self.faults_ended_at or now)
+            since = max(self._last_answer_at[job_id], self.faults_ended_at or now)
             if now - since > MAX_ANSWER_GAP_S:
                 self.violations.append(
                     f"forgotten: no answer about {job_id} for {now - since:.0f} s"
                 )
 
     def check_waiting_jobs(self) -> None:
-        """Once all faults are over, no job waits while a machine and its team's quota have room."""
+        """Check that after the last fault no job waits that fits a machine and its team's quota."""
         now = asyncio.get_running_loop().time()
         if self.faults_ended_at is None:
             return
@@ -184,14 +185,14 @@
     def _check_status_change(self, job_id: str, status: str) -> None:
         before = self.statuses.get(job_id)
         if status == "aborted" and job_id not in self.cancel_requested:
-            self.violations.append(f"went_back: {job_id} cancelled by nobody")
+            self.violations.append(f"went_back: {job_id} cancelled without a request")
         if before in FINAL_STATUSES and status != before:
             self.violations.append(f"went_back: {job_id} {before} to {status}")
         if status == "done" and not self.completed_tasks.issuperset(self._tasks(job_id)):
             self.violations.append(f"not_done: {job_id}")
 
     def _misplacement(self, task: str, job: protocol.JobSpec, machine: MachineDescription) -> str:
-        """Why the task may not run on the machine; empty if it may."""
+        """The reason why the task may not run on the machine; empty if it may."""
         if machine.spot and not job.spot_allowed:
             return "a spot machine"
         if job.machine_types is not None and machine.machine_type not in job.machine_types:
@@ -201,7 +202,7 @@
         return self._zone_violation(job_id_of(task), job, machine.zone)
 
     def _zone_violation(self, job_id: str, job: protocol.JobSpec, zone: str) -> str:
-        """Why a task may not run in the zone, given the job's other tasks; empty if it may."""
+        """The reason why the job may not have a task in the zone, given its others; or empty."""
         if not (job.single_zone or job.spread_zones):
             return ""
         zones = [
@@ -216,7 +217,7 @@
         return ""
 
     def _quota_violation(self, task: str, team: str, now: float) -> str:
-        """The violation, with all tasks of the team that are on machines."""
+        """The text of a quota violation, with all running tasks of the team."""
         running = [
             f"{other} on {'+'.join(sorted(machines))}"
             for other, machines in self.machines_by_task.items()
@@ -228,7 +229,7 @@
         )
 
     def _free_cores(self) -> dict[str, float]:
-        """Free cores of each machine that is up and works."""
+        """Free cores of each machine that is up and not faulty."""
         environment = self._environment
         cores = float(environment.deployment.machine_types[0]["cores"])
         free = {
@@ -244,8 +245,8 @@
     def _check_waiting_job(self, job_id: str, free_cores: dict[str, float], now: float) -> None:
         environment = self._environment
         job = self._job_spec(job_id)
-        is_over = self.statuses.get(job_id) in (None, *FINAL_STATUSES)
-        is_over = is_over or job_id in environment.failing_jobs
+        is_finished = self.statuses.get(job_id) in (None, *FINAL_STATUSES)
+        is_finished = is_finished or job_id in environment.failing_jobs
         tasks = self._tasks(job_id)
         has_waiting_task = any(
             task not in self.completed_tasks and not self.machines_by_task.get(task)
@@ -254,10 +255,15 @@
         started_tasks = sum(task in self.started_at for task in tasks)
         fitting = self._fitting_machines(job, free_cores)
         previous = self._waiting.get(job_id, _WaitingJob(now, started_tasks, fitting))
-        # Only the same machine all the time counts: others may become free by turns.
+        # Only a machine that has had room throughout counts: different ones may have room in turn.
         fitting &= previous.fitting_machines
         used = self.used_cores.get(job.team, 0.0) + job.cores
-        if is_over or not has_waiting_task or not fitting or used > environment.limits[job.team]:
+        if (
+            is_finished
+            or not has_waiting_task
+            or not fitting
+            or used > environment.limits[job.team]
+        ):
             self._waiting.pop(job_id, None)
         elif started_tasks > previous.started_tasks:
             self._waiting[job_id] = _WaitingJob(now, started_tasks, fitting)
@@ -268,19 +274,19 @@
                 self.violations.append(f"left waiting: {job_id} since {since}, {fitting}")
 
     def _fitting_machines(self, job: protocol.JobSpec, free_cores: dict[str, float]) -> set[str]:
-        """Machines with room for a task of the job."""
+        """Machines that are allowed for the job and have room for one of its tasks."""
         fitting = set()
         for name, cores in free_cores.items():
             machine = self._environment.cloud.machines[name].description
-            kind_allowed = job.spot_allowed or not machine.spot
-            if cores >= job.cores and kind_allowed and job.zone in (None, machine.zone):
+            spot_rule_met = job.spot_allowed or not machine.spot
+            if cores >= job.cores and spot_rule_met and job.zone in (None, machine.zone):
                 fitting.add(name)
         return fitting
 
     # ---- helpers -----------------------------------------------------------------------------
 
     def _observe(self, task: str, text: str) -> None:
-        """Keep an observation as evidence for the job that the task belongs to."""
+        """Keep an observation as evidence about the job; ``task`` may also be the job's id."""
         now = asyncio.get_running_loop().time()
         job_id = task.partition("/")[0]
         lines = self._observations.setdefault(job_id, deque(maxlen=MAX_OBSERVATIONS))
--- a/petrelthread/emulator/loopback.py
+++ b/petrelthread/emulator/loopback.py
@@ -23,26 +23,26 @@
 )
 
 HOST = "127.0.0.1"
-HANG_S = 60.0  # longer than any timeout
-CONTROLLER = "controller"  # source of direct commands, whichever controller sends them
-MAX_CONNECTIONS = 256  # to one emulated program
-CLIENT_CONNECTIONS = 16  # of a worker, user or controller
+HANG_S = 60.0  # longer than any request timeout
+CONTROLLER = "controller"  # source of direct commands: all controllers use a machine's one port
+MAX_CONNECTIONS = 256  # accepted by one emulated program
+CLIENT_CONNECTIONS = 16  # opened by one worker or controller, or by all users
 
 
 def ignore_cancelled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Exception handler of a loop that ends with open connections.
+    """Exception handler for an event loop that ends with open connections.
 
-    They are cancelled, which asyncio's streams would report as an error.
+    Their tasks are cancelled, which asyncio's streams would report as an error.
     """
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
 
 def reserve_port() -> socket.socket:
-    """A socket bound to a port of its own.
+    """Return a socket that is bound to a free port.
 
-    While it is open and does not listen, a controller can listen on the port, and the system gives
-    it to no other program.
+    While the socket is open and does not listen, a controller can listen on the port, and the
+    system assigns the port to no other program.
     """
     bound = socket.socket()
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -62,7 +62,7 @@
         self._faults = faults
         self._bound: dict[str, socket.socket] = {}
         self._servers: dict[str, asyncio.Server] = {}
-        self._names: dict[str, str] = {}  # by address: who listens there
+        self._names: dict[str, str] = {}  # name of the program that listens, by address
         self._background = BackgroundTasks()
 
     # ---- listening ---------------------------------------------------------------------------
@@ -76,21 +76,21 @@
         return address
 
     def reserve_for_process(self, name: str) -> str:
-        """Reserve a port on which a process of that name will listen itself."""
+        """Reserve a port on which the process ``name`` itself will listen."""
         return self.new_address(name)
 
     def attach(self, address: str, name: str, handler: RequestHandler) -> None:
-        """Serve requests of any controller at a reserved address."""
+        """Handle requests of any controller at a reserved address."""
         self._background.start(self._listen(address, CONTROLLER, name, handler))
 
-    async def link(self, source: str, name: str, handler: RequestHandler) -> str:
-        """Serve the requests of one source. Returns the address for them."""
+    async def open_link(self, source: str, name: str, handler: RequestHandler) -> str:
+        """Handle the requests of one source. Returns the address to which it sends them."""
         address = self.new_address(name)
         await self._listen(address, source, name, handler)
         return address
 
     def detach(self, address: str) -> None:
-        """Stop serving and free the port."""
+        """Stop listening and free the port."""
         server = self._servers.pop(address, None)
         if server is not None:
             server.close()
@@ -101,23 +101,23 @@
     async def _listen(self, address: str, source: str, name: str, handler: RequestHandler) -> None:
         bound = self._bound.get(address)
         if bound is None:
-            return  # detached meanwhile
-        server = Server(self._served(source, name, handler), MAX_CONNECTIONS)
+            return  # detached before this task ran
+        server = Server(self._handler_with_faults(source, name, handler), MAX_CONNECTIONS)
         self._servers[address] = await server.listen_on(bound)
 
-    def _served(
+    def _handler_with_faults(
         self, source: str, name: str, handler: RequestHandler
     ) -> Callable[[str, str, bytes], Awaitable[Response]]:
         async def serve(method: str, target: str, body: bytes) -> Response:
-            fate = self._faults.fate(source, name, target)
-            if fate.lost:
+            delivery = self._faults.delivery(source, name, target)
+            if delivery.lost:
                 await asyncio.sleep(HANG_S)
-            if fate.delay_s:
-                await asyncio.sleep(fate.delay_s)
+            if delivery.delay_s:
+                await asyncio.sleep(delivery.delay_s)
             status, content = await handler(
                 source, method, target, orjson.loads(body) if body else None
             )
-            if fate.answer_lost:
+            if delivery.answer_lost:
                 await asyncio.sleep(HANG_S)
             return json_response(status, content)
 
@@ -126,34 +126,36 @@
     # ---- sending -----------------------------------------------------------------------------
 
     def requester(self, source: str) -> RequestSender:
-        """What sends the requests of a worker, user or controller."""
+        """Return the function that sends requests of a worker, a controller or the users."""
         client = Client(CLIENT_CONNECTIONS)
 
         async def request(
             address: str, method: str, target: str, body: Any = None, timeout: float = 2.0
         ) -> ClientResponse:
             name = self._names.get(address, address)
-            copy_s = self._faults.copy_delay_s(target)
-            if copy_s is not None:
-                self._background.start(self._repeat(client, copy_s, address, method, target, body))
+            duplicate_after_s = self._faults.duplicate_delay_s(target)
+            if duplicate_after_s is not None:
+                self._background.start(
+                    self._send_duplicate(client, duplicate_after_s, address, method, target, body)
+                )
             cut = frozenset((source, name)) in self._faults.cut
             if cut or source in self._faults.not_sending:
                 await asyncio.sleep(timeout)
-                raise NoResponseError("lost on the way", True)
+                raise NoResponseError("request lost", True)
             reply = await client.request(address, method, target, body, timeout)
             if source in self._faults.not_receiving:
                 await asyncio.sleep(timeout)
-                raise NoResponseError("the answer was lost", True)
+                raise NoResponseError("response lost", True)
             return reply
 
         return request
 
     @staticmethod
-    async def _repeat(
+    async def _send_duplicate(
         client: Client, delay_s: float, address: str, method: str, target: str, body: Any
     ) -> None:
         await asyncio.sleep(delay_s)
-        with contextlib.suppress(NoResponseError):  # the copy's answer is not used
+        with contextlib.suppress(NoResponseError):  # the response to a duplicate is not used
             await client.request(address, method, target, body)
 
     def close(self) -> None:
@@ -164,7 +166,7 @@
 
 
 def forwarder(requester: RequestSender, address: str, timeout_s: float) -> RequestHandler:
-    """A handler that passes requests on to an address."""
+    """Return a handler that forwards requests to an address."""
 
     async def forward(_source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         try:
--- a/petrelthread/emulator/loopback_environment.py
+++ b/petrelthread/emulator/loopback_environment.py
@@ -1,4 +1,4 @@
-"""Emulated programs, the links between them, and real controllers on the loopback interface."""
+"""Emulated programs, their links, and controllers as real processes on the loopback interface."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
 from petrelthread.store import KEY_PREFIX
 
 PEER_TIMEOUT_S = 0.8
-SPOT_SHARE = 2 / 3  # of the machines
+SPOT_SHARE = 2 / 3  # of all machines
 BOOT_S = 1.5
 
 
 @dataclass(frozen=True)
 class LoopbackOptions:
-    """Size of the environment, duration of the faults, and the checkout to run."""
+    """Size of the environment, duration of the faults, and the checkout under test."""
 
     seconds: float = 40.0
     controllers: int = 3
     machines: int = 12
-    sources: Path = Path(__file__).parents[2]  # the checkout whose controllers are run
+    sources: Path = Path(__file__).parents[2]  # the checkout whose controllers run
 
 
 @dataclass(frozen=True)
 class LoopbackDeployment:
-    """A few machines, scarce in each zone."""
+    """The controllers, and a cloud with few machines in each zone."""
 
     machines: int
     nodes: tuple[str, ...]
@@ -79,22 +79,22 @@
 
     @property
     def spot(self) -> int:
-        """How many spot machines there are."""
+        """How many spot machines the cloud can rent out at once."""
         return math.ceil(self.machines * SPOT_SHARE)
 
     @property
     def on_demand(self) -> int:
-        """How many on-demand machines there are."""
+        """How many on-demand machines the cloud can rent out at once."""
         return self.machines - self.spot
 
     @property
     def zone_capacity(self) -> int:
-        """How many machines a zone has."""
+        """How many machines a zone can have rented at once."""
         return math.ceil(self.machines / len(ZONES))
 
 
 class LoopbackEnvironment:
-    """Owns the emulated programs, the links and the controllers' processes."""
+    """Owns the emulated programs, their links and the controllers' processes."""
 
     def __init__(self, seed: int, options: LoopbackOptions, directory: Path) -> None:
         self.random = random.Random(seed)
@@ -109,27 +109,27 @@
         self.faults = LinkFaults(self.random)
         self.net = LoopbackNetwork(self.faults)
         self.checker = InvariantChecker(self)
-        self.store = StateService(TXN_OPS, self.checker.record_put)
+        self.state_service = StateService(TXN_OPS, self.checker.record_put)
         self.cloud = Cloud(self)
         self.controllers: list[ControllerProcess] = []
-        self._public = {name: self.net.reserve_for_process(name) for name in names}
-        self._peers = {name: self.net.reserve_for_process(name) for name in names}
+        self._public_addresses = {name: self.net.reserve_for_process(name) for name in names}
+        self._peer_addresses = {name: self.net.reserve_for_process(name) for name in names}
         self._options = options
         self._directory = directory
-        self._tasks = BackgroundTasks()
+        self._background_tasks = BackgroundTasks()
 
-    # ---- interface of the emulated programs --------------------------------------------------
+    # ---- interface to the emulated programs --------------------------------------------------
 
     def background(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run something as a task of its own."""
-        self._tasks.start(work)
+        """Run a coroutine as a background task."""
+        self._background_tasks.start(work)
 
     def public_address(self, node: str) -> str:
-        """Where workers and users reach a controller."""
-        return self._public[node]
+        """The address at which a controller accepts requests of workers and users."""
+        return self._public_addresses[node]
 
     def task_fails(self, _task: str) -> bool:
-        """No job of a soak fails by itself; machines do."""
+        """Always False: tasks of a soak fail only on faulty machines."""
         return False
 
     def task_run_s(self, task: str) -> float:
@@ -140,7 +140,7 @@
     # ---- start and end -----------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Open the links, and start the controllers."""
+        """Open the links and start the controllers."""
         for index, name in enumerate(self.deployment.nodes):
             addresses = await self._addresses(name)
             text = settings_text(name, ZONES[index % len(ZONES)], addresses)
@@ -152,37 +152,39 @@
         siblings = []
         for other in self.deployment.nodes:
             if other != name:
-                pass_on = forwarder(self.net.requester(name), self._peers[other], PEER_TIMEOUT_S)
-                siblings.append((other, await self.net.link(name, other, pass_on)))
+                forward = forwarder(
+                    self.net.requester(name), self._peer_addresses[other], PEER_TIMEOUT_S
+                )
+                siblings.append((other, await self.net.open_link(name, other, forward)))
         return Addresses(
-            self._public[name],
-            self._peers[name],
-            await self.net.link(name, STATE, self.store.handle),
-            await self.net.link(name, CLOUD, self.cloud.handle),
+            self._public_addresses[name],
+            self._peer_addresses[name],
+            await self.net.open_link(name, STATE, self.state_service.handle),
+            await self.net.open_link(name, CLOUD, self.cloud.handle),
             tuple(siblings),
         )
 
     def add_job(self, job: PlannedJob) -> None:
-        """Add a job. One of the backlog is written to the state service at once."""
+        """Add a job. A job of the backlog is written to the state service at once."""
         self.jobs[job.job_id] = job.spec
         self.run_s[job.job_id] = job.run_s
         if job.submit_s < 0:
             spec = msgspec.convert(job.spec, protocol.JobSpec)
             value = encode(JobRecord.from_spec(spec, time.time() + job.submit_s))
-            self.store.put(f"{KEY_PREFIX}j/{job.job_id}", value)
+            self.state_service.put(f"{KEY_PREFIX}j/{job.job_id}", value)
             self.checker.record_answer(job.job_id, 201, {"status": "queued"})
 
     @property
     def leader(self) -> str | None:
-        """The leader on record in the state service."""
-        value = self.store.keys.get(f"{KEY_PREFIX}lead")
+        """The name of the leader as recorded in the state service."""
+        value = self.state_service.keys.get(f"{KEY_PREFIX}lead")
         return None if value is None else str(value.value["node"])
 
     def close(self) -> None:
-        """End all processes, machines and links."""
+        """Kill all controllers, remove all machines and close all links."""
         for controller in self.controllers:
             controller.kill()
         for name in list(self.cloud.machines):
             self.cloud.remove(name)
-        self._tasks.cancel_all()
+        self._background_tasks.cancel_all()
         self.net.close()
--- a/petrelthread/emulator/processes.py
+++ b/petrelthread/emulator/processes.py
@@ -1,4 +1,4 @@
-"""Controllers as real processes on the loopback interface: settings, start, kill, pause."""
+"""Controllers as real processes on the loopback interface: settings, start, kill and pause."""
 
 from __future__ import annotations
 
@@ -57,17 +57,17 @@
 
 @dataclass(frozen=True)
 class Addresses:
-    """Where one controller listens, and where it reaches the others and the services."""
+    """Addresses at which one controller listens, and those of its peers and the services."""
 
     public: str
     peer: str
     state: str
     cloud: str
-    siblings: tuple[tuple[str, str], ...]  # name and the address to reach it at
+    siblings: tuple[tuple[str, str], ...]  # name and address of each peer
 
 
 def settings_text(name: str, zone: str, addresses: Addresses) -> str:
-    """The settings file of one controller."""
+    """Return the text of one controller's settings file."""
     siblings = "".join(
         f'[[siblings]]\nhost_name = "{sibling}"\npeer_addr = "{address}"\n'
         for sibling, address in addresses.siblings
@@ -96,10 +96,11 @@
     )
 
 
-def stamp_lines(source: IO[bytes], path: Path) -> None:
-    """Write each line with the time of its arrival in seconds, on the invariant checker's clock.
+def copy_with_timestamps(source: IO[bytes], path: Path) -> None:
+    """Append each line of ``source`` to the file, preceded by the time at which it was read.
 
-    Returns when the process that writes to ``source`` ends.
+    The time is in seconds on the clock that the invariant checker uses. Returns when the process
+    that writes to ``source`` ends.
     """
     with path.open("ab") as log, source:
         for line in source:
@@ -108,16 +109,16 @@
 
 
 class ControllerProcess:
-    """One controller that can be killed, paused and started again with the same settings."""
+    """A controller process that can be killed, paused and restarted with the same settings."""
 
     def __init__(self, name: str, sources: Path, directory: Path, settings: str) -> None:
-        """Write the settings file; the process is not started yet.
+        """Write the settings file without starting the process.
 
         Args:
             name: The controller's name.
-            sources: The checkout whose ``run.py`` is run.
-            directory: For the settings file and the log.
-            settings: Text of the settings file.
+            sources: The checkout whose ``run.py`` runs.
+            directory: Where the settings file and the log are written.
+            settings: The text of the settings file.
         """
         self.name = name
         self._sources = sources
@@ -128,7 +129,7 @@
         self.unexpected_exits = 0
 
     def start(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process unless it already runs."""
         if self.running:
             return
         command = [sys.executable, str(self._sources / "run.py"), "--config", str(self._settings)]
@@ -143,7 +144,7 @@
         )
         assert self._process.stderr is not None
         threading.Thread(
-            target=stamp_lines, args=(self._process.stderr, self.log), daemon=True
+            target=copy_with_timestamps, args=(self._process.stderr, self.log), daemon=True
         ).start()
 
     @property
@@ -151,25 +152,25 @@
         """Whether the process exists, paused or not."""
         return self._process is not None and self._process.poll() is None
 
-    def watch(self) -> None:
-        """Restart the process if it exited by itself, and count that."""
+    def restart_if_exited(self) -> None:
+        """Restart the process if it exited without being killed, and count the exit."""
         if self._process is not None and self._process.poll() is not None:
             self.unexpected_exits += 1
             self.start()
 
     def kill(self) -> None:
-        """End the process at once, paused or not."""
+        """Kill the process immediately, also if it is paused."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
             self._process = None
 
     def pause(self) -> None:
-        """Stop the process while clocks run on."""
+        """Suspend the process. Clocks continue to run."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let the paused process continue."""
+        """Resume the suspended process."""
         self._signal(signal.SIGCONT)
 
     def _signal(self, number: signal.Signals) -> None:
--- a/petrelthread/emulator/soak.py
+++ b/petrelthread/emulator/soak.py
@@ -1,7 +1,7 @@
 """Soak: real controllers on the loopback interface under random faults, with an invariant checker.
 
-A seed determines the workload and the faults. Processes and sockets are real, so controllers may
-react differently from run to run.
+A seed determines the workload and the faults. Processes and sockets are real, so that runs of the
+same seed may differ in timing and outcome.
 """
 
 from __future__ import annotations
@@ -23,48 +23,48 @@
 from petrelthread.emulator.users import Users
 from petrelthread.emulator.workload import draw_jobs
 
-FAULT_INTERVAL_S = 1.5  # in the mean
+FAULT_INTERVAL_S = 1.5  # mean
 JOBS_PER_S = 1.0
-BACKLOG = 8  # jobs accepted before the start
-SUBMIT_SHARE = 0.8  # share of the time of faults in which jobs are submitted
-# Within this time after the last fault all jobs must be over. It covers lease, grace period and
-# boots, and the remaining work of the team with the lower limit.
-SETTLE_S = 150.0
+BACKLOG = 8  # jobs that were accepted before the start
+SUBMIT_SHARE = 0.8  # share of the fault phase during which jobs are submitted
+# All jobs must reach their final status within this time after the last fault. It covers the lease,
+# the grace period, boots, and the remaining work of the team with the lower limit.
+COMPLETION_LIMIT_S = 150.0
 CHECK_INTERVAL_S = 0.25
-REPORTED_PAUSE_S = 1.0  # longer pauses of this process are reported: they distort what it sees
+REPORTED_PAUSE_S = 1.0  # longer pauses of this process are reported: they distort its measurements
 
 
 @dataclass
 class SeedResult:
-    """Result of one seed."""
+    """The result of one seed."""
 
     seed: int
     jobs: int = 0
     done: int = 0
     cancelled: int = 0
     starts: int = 0
-    exits: int = 0  # controllers that exited by themselves
-    longest_pause_s: float = 0.0  # of this process
+    unexpected_exits: int = 0  # of controllers that were not killed
+    longest_pause_s: float = 0.0  # in this process
     faults: Counter[str] = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
     evidence: list[str] = field(default_factory=list)
-    logs: Path | None = None  # kept if there are violations
+    logs: Path | None = None  # directory of the controllers' logs, kept if there are violations
 
 
 class Soak:
-    """Plays one seed."""
+    """Runs the soak with one seed."""
 
     def __init__(self, seed: int, options: LoopbackOptions) -> None:
         self._options = options
         self._result = SeedResult(seed)
 
     async def run(self) -> SeedResult:
-        """Play the seed. The processes' logs are kept only if there are violations."""
+        """Run the seed. The controllers' logs are kept only if there are violations."""
         directory = Path(tempfile.mkdtemp(prefix=f"soak-{self._result.seed}-"))
         asyncio.get_running_loop().set_exception_handler(ignore_cancelled)
         environment = LoopbackEnvironment(self._result.seed, self._options, directory)
         try:
-            await self._play(environment)
+            await self._run_with_faults(environment)
         finally:
             environment.close()
             self._collect(environment)
@@ -74,7 +74,7 @@
                 shutil.rmtree(directory)
         return self._result
 
-    async def _play(self, environment: LoopbackEnvironment) -> None:
+    async def _run_with_faults(self, environment: LoopbackEnvironment) -> None:
         options, loop = self._options, asyncio.get_running_loop()
         jobs = draw_jobs(
             environment.random,
@@ -94,87 +94,89 @@
         )
         injector = FaultInjector(environment)
         started_at = loop.time()
-        followers = [asyncio.create_task(users.follow(job, started_at)) for job in jobs]
-        watcher = asyncio.create_task(self._watch(environment, injector))
+        user_tasks = [asyncio.create_task(users.follow(job, started_at)) for job in jobs]
+        monitor = asyncio.create_task(self._monitor(environment, injector))
         try:
             await asyncio.gather(
                 asyncio.sleep(options.seconds),
-                *(injector.play(fault, started_at) for fault in faults),
+                *(injector.inject(fault, started_at) for fault in faults),
             )
-            environment.faults.heal()
+            environment.faults.clear_all()
             environment.checker.faults_ended_at = loop.time()
-            users.faults_over.set()
-            await self._settle(environment, followers)
-            await asyncio.gather(*(users.ask_again(job) for job in jobs))
+            users.faults_ended.set()
+            await self._wait_for_final_statuses(environment, user_tasks)
+            await asyncio.gather(*(users.query_final_statuses(job) for job in jobs))
             for cancelled_at in environment.checker.cancelled_at.values():
                 await asyncio.sleep(max(0.0, cancelled_at + CANCEL_S + 1.0 - loop.time()))
         finally:
-            for task in [watcher, *followers]:
+            for task in [monitor, *user_tasks]:
                 task.cancel()
-            self._result.faults = injector.played
+            self._result.faults = injector.fault_counts
             environment.checker.violations += users.errors
 
-    async def _settle(
-        self, environment: LoopbackEnvironment, followers: list[asyncio.Task[None]]
+    async def _wait_for_final_statuses(
+        self, environment: LoopbackEnvironment, user_tasks: list[asyncio.Task[None]]
     ) -> None:
-        """Wait until every job has its final status, and report those that have not in time."""
-        _, waiting = await asyncio.wait(followers, timeout=SETTLE_S)
-        if waiting:
+        """Wait until every job has its final status; report the jobs that take too long."""
+        _, unfinished = await asyncio.wait(user_tasks, timeout=COMPLETION_LIMIT_S)
+        if unfinished:
             environment.checker.violations += [
-                f"not over {SETTLE_S:.0f} s after the last fault:"
+                f"not over {COMPLETION_LIMIT_S:.0f} s after the last fault:"
                 f" {job_id} is {environment.checker.statuses.get(job_id)}"
-                for job_id in self._open_jobs(environment)
+                for job_id in self._unfinished_jobs(environment)
             ]
 
-    async def _watch(self, environment: LoopbackEnvironment, injector: FaultInjector) -> None:
+    async def _monitor(self, environment: LoopbackEnvironment, injector: FaultInjector) -> None:
         loop = asyncio.get_running_loop()
         while True:
             before = loop.time()
             await asyncio.sleep(CHECK_INTERVAL_S)
-            late_s = loop.time() - before - CHECK_INTERVAL_S
-            self._result.longest_pause_s = max(self._result.longest_pause_s, late_s)
-            injector.watch()
+            pause_s = loop.time() - before - CHECK_INTERVAL_S
+            self._result.longest_pause_s = max(self._result.longest_pause_s, pause_s)
+            injector.restart_exited_controllers()
             environment.checker.check_cancellations()
             if environment.checker.faults_ended_at is not None:
-                environment.checker.check_answers(self._open_jobs(environment))
+                environment.checker.check_answers(self._unfinished_jobs(environment))
                 environment.checker.check_waiting_jobs()
 
     @staticmethod
-    def _open_jobs(environment: LoopbackEnvironment) -> list[str]:
-        """Jobs whose users do not know a final status."""
+    def _unfinished_jobs(environment: LoopbackEnvironment) -> list[str]:
+        """Jobs of which no user has received a final status."""
         statuses = environment.checker.statuses
         return [job for job in environment.jobs if statuses.get(job) not in FINAL_STATUSES]
 
     def _collect(self, environment: LoopbackEnvironment) -> None:
         result, checker = self._result, environment.checker
-        states = Counter(checker.statuses.get(job_id) for job_id in environment.jobs)
-        result.done, result.cancelled = states["done"], states["aborted"]
+        statuses = Counter(checker.statuses.get(job_id) for job_id in environment.jobs)
+        result.done, result.cancelled = statuses["done"], statuses["aborted"]
         result.starts = checker.start_count
-        result.exits = sum(controller.unexpected_exits for controller in environment.controllers)
+        result.unexpected_exits = sum(
+            controller.unexpected_exits for controller in environment.controllers
+        )
         result.violations = list(dict.fromkeys(checker.violations))
         result.evidence = [line for text in result.violations for line in checker.evidence(text)]
 
 
-async def soak(seed: int, options: LoopbackOptions) -> SeedResult:
-    """Play one seed."""
+async def run_seed(seed: int, options: LoopbackOptions) -> SeedResult:
+    """Run the soak with one seed."""
     return await Soak(seed, options).run()
 
 
-def shown(result: SeedResult, options: LoopbackOptions) -> str:
-    """One line; with violations, also the evidence and the command that plays the seed again."""
+def format_result(result: SeedResult, options: LoopbackOptions) -> str:
+    """One line; with violations, also the evidence and the command that repeats the seed."""
     faults = ", ".join(f"{kind} {count}" for kind, count in sorted(result.faults.items()))
     line = (
         f"seed {result.seed}: {'BROKEN' if result.violations else 'ok'}; {result.jobs} jobs"
         f" ({result.done} done, {result.cancelled} cancelled), {result.starts} starts;"
         f" faults: {faults or 'none'}"
     )
-    if result.exits:
-        line += f"; {result.exits} controllers ended by themselves"
+    if result.unexpected_exits:
+        line += f"; {result.unexpected_exits} controllers ended by themselves"
     if result.longest_pause_s > REPORTED_PAUSE_S:
         line += f"; this process itself stood still for {result.longest_pause_s:.1f} s"
     if not result.violations:
         return line
-    again = (
+    repeat_command = (
         f"python3 run.py soak --seeds 1 --first-seed {result.seed} --seconds {options.seconds:g}"
         f" --controllers {options.controllers} --machines {options.machines}"
     )
@@ -184,26 +186,26 @@
             *(f"  broken: {text}" for text in result.violations),
             *(f"  {text}" for text in result.evidence),
             f"  controllers' logs: {result.logs}",
-            f"  again: {again}",
+            f"  again: {repeat_command}",
         ]
     )
 
 
 def play_seeds(seeds: range, options: LoopbackOptions) -> int:
-    """Play one seed after the other.
+    """Run one seed after the other.
 
-    Returns the exit code: 0 without violations, 1 with some, 130 if interrupted.
+    Returns the exit code: 0 without violations, 1 with violations, 130 if interrupted.
     """
-    broken = 0
-    # SIGINT as well, since shells start background jobs with SIGINT ignored.
+    seeds_with_violations = 0
+    # SIGINT is set as well, since shells start background jobs with SIGINT ignored.
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
     try:
         for seed in seeds:
-            result = asyncio.run(soak(seed, options))
-            broken += bool(result.violations)
-            print(shown(result, options), flush=True)
+            result = asyncio.run(run_seed(seed, options))
+            seeds_with_violations += bool(result.violations)
+            print(format_result(result, options), flush=True)
     except KeyboardInterrupt:
         return 130
-    print(f"{len(seeds)} seeds, {broken} with a broken rule")
-    return 1 if broken else 0
+    print(f"{len(seeds)} seeds, {seeds_with_violations} with a broken rule")
+    return 1 if seeds_with_violations else 0
--- a/petrelthread/emulator/state_service.py
+++ b/petrelthread/emulator/state_service.py
@@ -9,22 +9,22 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 MAX_PAGE = 1000  # keys
-WATCH_POLL_S = 0.2  # how often a waiting watch looks at the leases and its own end
-MIN_WATCH_POLL_S = 0.05
+WATCH_POLL_S = 0.2  # interval at which a waiting watch checks the leases and its deadline
+MIN_WATCH_POLL_S = 0.05  # shortest interval, when the deadline is near or past
 
-JsonValue = Any  # a value as controllers store it
+JsonValue = Any  # a value as the controllers store it
 
 
 class StoredValue(NamedTuple):
-    """A key's value."""
+    """The value of a key, its revision and its lease."""
 
     value: JsonValue
-    revision: int  # of the last change
+    revision: int  # of the key's last change
     lease_id: int | None
 
 
 class Lease(NamedTuple):
-    """A lease that deletes its keys when it expires."""
+    """A lease; the keys attached to it are deleted when it expires."""
 
     duration_s: float
     expires_at: float
@@ -34,29 +34,29 @@
 
 
 class StateService:
-    """Keys, leases and watches in one copy. It needs no locks on the single event loop."""
+    """Keys, leases and watches in a single replica, without locks: one event loop runs it."""
 
     def __init__(self, max_operations: int, on_put: Callable[[str, JsonValue, Keys], None]) -> None:
         """Start empty.
 
         Args:
-            max_operations: How many changes a transaction may make.
-            on_put: Called for each put with key, value and all keys as they are then.
+            max_operations: The maximum number of changes in a transaction.
+            on_put: Called for each put with the key, the value and all keys after the put.
         """
         self._max_operations = max_operations
         self._on_put = on_put
         self.keys: Keys = {}
         self.puts: list[tuple[str, JsonValue]] = []
-        self.refused: set[str] = set()  # controllers that get no answer
+        self.refused: set[str] = set()  # controllers that get 503, and no changes on open watches
         self._revision = 1
-        self._log: list[dict[str, Any]] = []  # changes as watches show them
+        self._log: list[dict[str, Any]] = []  # all changes, as watches return them
         self._leases: dict[int, Lease] = {}
         self._last_lease_id = 0
         self._down = False
         self._changed = asyncio.Event()
 
     def put(self, key: str, value: JsonValue) -> None:
-        """Store a value, as if it had been written before."""
+        """Store a value directly, without a request of a controller."""
         self._apply([{"put": key, "v": value}])
 
     def drop(self, key: str) -> None:
@@ -64,7 +64,7 @@
         self._apply([{"drop": key}])
 
     def set_outage(self, down: bool) -> None:
-        """Begin or end an outage. Its end gives all leases their full duration again."""
+        """Begin or end an outage. Its end renews all leases for their full duration."""
         self._down = down
         if not down:
             self._leases = {
@@ -72,7 +72,7 @@
             }
 
     async def handle(self, source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
-        """Serve one request; ``source`` names the controller that sent it."""
+        """Handle one request; ``source`` names the controller that sent it."""
         if self._down or source in self.refused:
             return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "down"}
         self._expire_leases()
@@ -122,8 +122,8 @@
             if not unavailable and (changes or self._now() >= ends_at):
                 return HTTPStatus.OK, {"epoch": self._revision, "log": changes}
             try:
-                left_s = max(ends_at - self._now(), MIN_WATCH_POLL_S)
-                async with asyncio.timeout(min(WATCH_POLL_S, left_s)):
+                remaining_s = max(ends_at - self._now(), MIN_WATCH_POLL_S)
+                async with asyncio.timeout(min(WATCH_POLL_S, remaining_s)):
                     await self._changed.wait()
             except TimeoutError:
                 pass
@@ -154,7 +154,7 @@
     # ---- keys and leases ---------------------------------------------------------------------
 
     def _revision_of(self, key: str) -> int:
-        """Revision of a key's last change; 0 if it does not exist."""
+        """Revision of a key's last change; 0 if the key does not exist."""
         return self.keys[key].revision if key in self.keys else 0
 
     def _apply(self, operations: list[dict[str, Any]]) -> None:
@@ -181,9 +181,9 @@
 
     def _end_lease(self, lease_id: int) -> None:
         self._leases.pop(lease_id, None)
-        tied = [key for key, stored in self.keys.items() if stored.lease_id == lease_id]
-        if tied:
-            self._apply([{"drop": key} for key in tied])
+        attached_keys = [key for key, stored in self.keys.items() if stored.lease_id == lease_id]
+        if attached_keys:
+            self._apply([{"drop": key} for key in attached_keys])
 
     def _renewed(self, lease: Lease) -> Lease:
         return Lease(lease.duration_s, self._now() + lease.duration_s)
--- a/petrelthread/emulator/worker.py
+++ b/petrelthread/emulator/worker.py
@@ -11,22 +11,22 @@
 import orjson
 
 from petrelthread import protocol
-from petrelthread.emulator.environment import MachineDescription, SimulatedEnvironment
+from petrelthread.emulator.environment import EmulatedEnvironment, MachineDescription
 from petrelthread.http import ClientResponse, NoResponseError
 
-STOPPED_CAUSE = "stopped"  # exit cause of a task that was told to stop
+STOPPED_CAUSE = "stopped"  # exit cause of a task that a command stopped
 IMAGE_FETCH_S = 1.0
-FROZEN_POLL_S = 0.1  # how often a hanging worker looks whether it may go on
-HANG_S = 1000.0  # longer than any timeout
+FROZEN_POLL_S = 0.1  # interval at which a hanging worker checks whether it still hangs
+HANG_S = 1000.0  # longer than any request timeout
 HEARTBEAT_TIMEOUT_S = 4.0
-RETRY_S = 1.0  # after a heartbeat without a usable answer
-REDIRECT_S = 0.2  # after being told who the leader is
-HEARTBEAT_JITTER = (0.75, 1.25)  # factors of the interval
+RETRY_S = 1.0  # after a heartbeat without a usable response
+REDIRECT_S = 0.2  # after a response that names the leader
+HEARTBEAT_JITTER = (0.75, 1.25)  # smallest and largest factor of the heartbeat interval
 
 
 @dataclass
 class TaskRun:
-    """One attempt on a worker."""
+    """An attempt of a task on a worker."""
 
     attempt: int
     state: protocol.TaskState
@@ -35,12 +35,12 @@
 
 
 class Worker:
-    """Sends heartbeats, keeps its lease, and runs tasks as long as the environment says.
+    """Sends heartbeats, enforces its lease, and runs tasks for the duration the environment gives.
 
-    ``frozen`` makes it hang, ``faulty`` makes every task fail.
+    While ``frozen`` is set the worker hangs; while ``faulty`` is set every started task fails.
     """
 
-    def __init__(self, environment: SimulatedEnvironment, machine: MachineDescription) -> None:
+    def __init__(self, environment: EmulatedEnvironment, machine: MachineDescription) -> None:
         self._environment = environment
         self.machine = machine
         self.name = machine.name
@@ -52,38 +52,38 @@
         self.sequence_number = 0
         self.fencing_token = 0
         self.tasks: dict[str, TaskRun] = {}
-        self.lease_renewed_at = 0.0  # when the last heartbeat that was answered was sent
+        self.lease_renewed_at = 0.0  # when the last confirmed heartbeat was sent
         self.killed_by_lease = 0
-        self._controller = 0  # index of the one that gets the heartbeats
+        self._controller_index = 0  # of the controller that gets the heartbeats
         self.main_task = asyncio.create_task(self._run())
 
     def kill(self) -> None:
-        """The machine is gone."""
+        """Terminate the worker and its tasks together with the machine."""
         self.dead = True
         self._environment.net.detach(self.machine.address)
         self.main_task.cancel()
         for task in list(self.tasks):
-            self._record_leave(task)
+            self._record_end(task)
         self.tasks.clear()
 
-    def expire(self) -> None:
+    def enforce_lease(self) -> None:
         """Kill all tasks if the lease has expired.
 
-        Called before anything else looks at the tasks, also while the worker hangs: when it goes
-        on, this is the first that it does.
+        The worker does this before it advances its tasks. The invariant checker also calls it while
+        the worker hangs, since the worker does the same first when it resumes.
         """
         now = self._now()
         if self.up and now - self.lease_renewed_at > self._environment.workers.lease_s:
             for task, run in self.tasks.items():
                 if run.state != protocol.TaskState.EXITED:
                     self.killed_by_lease += 1
-                    self._record_leave(task)
+                    self._record_end(task)
             self.tasks.clear()
             self.incarnation += 1
             self.lease_renewed_at = now
 
     def heartbeat(self) -> dict[str, Any]:
-        """The next heartbeat; each has a higher sequence number."""
+        """Build the next heartbeat, with a higher sequence number than the last."""
         self.sequence_number += 1
         tasks = [
             {"leg": task, "try": run.attempt, "status": run.state, "cause": run.exit_cause}
@@ -103,7 +103,7 @@
         }
 
     async def handle(self, _source: str, _method: str, target: str, body: Any) -> tuple[int, Any]:
-        """Serve a direct command or a request for the heartbeat."""
+        """Handle a direct command or a request for a heartbeat."""
         while self.frozen:
             await asyncio.sleep(FROZEN_POLL_S)
         if self.dead:
@@ -116,9 +116,9 @@
         return HTTPStatus.OK, self.heartbeat()
 
     def end_task(self, task: str, run: TaskRun, cause: str) -> None:
-        """End a task with the given cause."""
+        """Make a task exit with the given cause."""
         if run.state == protocol.TaskState.RUNNING:
-            self._record_leave(task)
+            self._record_end(task)
         run.state = protocol.TaskState.EXITED
         run.exit_cause = cause
         if cause == protocol.ExitCause.DONE:
@@ -140,7 +140,7 @@
                 self._advance_tasks()
 
     def _advance_tasks(self) -> None:
-        self.expire()
+        self.enforce_lease()
         now = self._now()
         for task, run in self.tasks.items():
             is_fetching = run.state == protocol.TaskState.FETCHING
@@ -176,7 +176,7 @@
         task = command.task_id
         run = self.tasks.get(task)
         if run is not None and run.attempt == command.attempt:
-            return  # a repeated command
+            return  # a duplicate of a command that was carried out
         if run is not None and run.state != protocol.TaskState.EXITED:
             return
         self.tasks[task] = TaskRun(command.attempt, protocol.TaskState.FETCHING, self._now())
@@ -192,7 +192,7 @@
                 await asyncio.sleep(FROZEN_POLL_S)
                 continue
             sent_at, incarnation = self._now(), self.incarnation
-            address = self._environment.public_address(controllers[self._controller])
+            address = self._environment.public_address(controllers[self._controller_index])
             try:
                 reply = await request(
                     address,
@@ -208,7 +208,7 @@
             await asyncio.sleep(self._handle_reply(reply, sent_at, incarnation))
 
     def _handle_reply(self, reply: ClientResponse, sent_at: float, incarnation: int) -> float:
-        """Act on the answer to a heartbeat. Returns the pause until the next one."""
+        """Process the response to a heartbeat. Returns the pause in seconds before the next one."""
         answer = orjson.loads(reply.body)
         if reply.status == HTTPStatus.OK:
             token = answer["baton"]
@@ -222,18 +222,20 @@
         controllers = self._environment.deployment.nodes
         leader = answer.get("home")
         if reply.status == HTTPStatus.MISDIRECTED_REQUEST and leader in controllers:
-            self._controller = controllers.index(leader)
+            self._controller_index = controllers.index(leader)
             return REDIRECT_S
         self._try_next_controller()
         return RETRY_S
 
     def _try_next_controller(self) -> None:
-        self._controller = (self._controller + 1) % len(self._environment.deployment.nodes)
+        self._controller_index = (self._controller_index + 1) % len(
+            self._environment.deployment.nodes
+        )
 
     # ---- helpers -----------------------------------------------------------------------------
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _record_leave(self, task: str) -> None:
-        self._environment.checker.record_leave(task, self.name)
+    def _record_end(self, task: str) -> None:
+        self._environment.checker.record_end(task, self.name)
--- a/petrelthread/emulator/workload.py
+++ b/petrelthread/emulator/workload.py
@@ -1,4 +1,4 @@
-"""The jobs of a soak, drawn from its seed. They cover all that the rules depend on."""
+"""The jobs of a soak, drawn from its seed. They cover all attributes that the rules use."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 PRIORITIES = ("low", "standard", "high", "prod")
 TEAMS = ("red", "blue", "guest")
 SERVICE_TEAMS = ("red", "blue")
-IMAGES = 4
-BACKLOG_AGE_S = (100.0, 260.0)  # around the 150 s within which a job is expected to start
-CANCELLED_SHARE = 0.35
+IMAGE_COUNT = 4
+BACKLOG_AGE_S = (100.0, 260.0)  # below and above 150 s, within which a job is expected to start
+CANCELLED_SHARE = 0.35  # of the arrays
 CANCEL_AFTER_S = (0.0, 20.0)
-CANCELLED_WHEN_RUNNING_SHARE = 0.6  # of the cancelled ones, whose first starts may be in flight
+CANCELLED_WHEN_RUNNING_SHARE = 0.6  # of the cancelled jobs; first starts may be in flight
 SERVICE_SHARE = 0.12
 RUN_S = (1.0, 10.0)
 SINGLE_ZONE_SHARE = 0.4
@@ -27,17 +27,17 @@
 ZONE_SHARE = 0.1
 WITHOUT_DEADLINE_SHARE = 0.5
 DEADLINE_S = 60.0
-TASKS = (2, 6)
+TASK_COUNT = (2, 6)
 MAX_REPLICAS = 4
 
-# The field of a submission for each attribute of the typed job.
+# The submission's field for each attribute of protocol.JobSpec.
 _FIELDS = {field.name: field.encode_name for field in msgspec.structs.fields(protocol.JobSpec)}
 
 
 def job_spec(job_id: str, tasks: int, **attributes: Any) -> dict[str, Any]:
-    """The JSON object of a submission.
+    """Return the JSON object of a submission.
 
-    ``attributes`` are those of ``protocol.JobSpec`` that differ from the defaults.
+    ``attributes`` are the attributes of ``protocol.JobSpec`` that differ from the defaults here.
     """
     spec = {
         "name_id": job_id,
@@ -63,13 +63,13 @@
 
 @dataclass(frozen=True)
 class PlannedJob:
-    """One job of the workload."""
+    """One job of the workload, and when its user submits and cancels it."""
 
     spec: dict[str, Any]
-    submit_s: float  # since the start; if negative, it was accepted so long before the start
-    cancel_after_s: float | None  # after its acceptance
+    submit_s: float  # since the start; a negative value is the age of a job of the backlog
+    cancel_after_s: float | None  # after the job's acceptance
     run_s: float  # of each task
-    cancel_when_running: bool = False  # as soon as its user is told that it runs
+    cancel_when_running: bool = False  # cancelled as soon as its user sees it running
 
     @property
     def job_id(self) -> str:
@@ -105,7 +105,7 @@
     single_zone = draw < single_zone_share
     spread_zones = single_zone_share <= draw < single_zone_share + SPREAD_SHARE
     is_service = submit_s >= 0 and not single_zone and randomness.random() < SERVICE_SHARE
-    tasks = randomness.randint(*TASKS)
+    tasks = randomness.randint(*TASK_COUNT)
     spec = job_spec(
         job_id,
         min(tasks, MAX_REPLICAS) if is_service else tasks,
@@ -115,7 +115,7 @@
         priority="prod" if is_service else randomness.choice(PRIORITIES),
         cores=1.0 if is_service else randomness.choice((1.0, 2.0)),
         ram_gb=1.0,
-        image=f"img-{randomness.randrange(IMAGES)}",
+        image=f"img-{randomness.randrange(IMAGE_COUNT)}",
         single_zone=single_zone,
         spread_zones=spread_zones,
         spot_allowed=randomness.random() < SPOT_SHARE,
@@ -126,7 +126,7 @@
         else DEADLINE_S,
     )
     if spread_zones:
-        spec["roost"] = None  # in a single zone, half of the tasks could never run
+        spec["roost"] = None  # restricted to one zone, half of the tasks could never run
     cancel = not is_service and randomness.random() < CANCELLED_SHARE
     when_running = cancel and randomness.random() < CANCELLED_WHEN_RUNNING_SHARE
     return PlannedJob(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator itself: the invariant checker, faults, workload, and the soak's command."""
+"""The emulator: invariant checker, faults, workload and the soak command."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from petrelthread.emulator.loopback import address_of, reserve_port
 from petrelthread.emulator.loopback_environment import LoopbackOptions
 from petrelthread.emulator.processes import CANCEL_S
-from petrelthread.emulator.soak import SeedResult, shown
+from petrelthread.emulator.soak import SeedResult, format_result
 from petrelthread.emulator.worker import TaskRun, Worker
 from petrelthread.emulator.workload import draw_jobs
 from petrelthread.http import NoResponseError
@@ -37,7 +37,7 @@
 
 
 def violations_after(scenario: Scenario) -> list[str]:
-    """The violations that the checker reports after the scenario."""
+    """Run the scenario and return the violations that the checker reports."""
 
     async def run() -> list[str]:
         simulation = Simulation()
@@ -48,14 +48,14 @@
     return violations
 
 
-def machine_of(number: int, zone: str, spot: bool = False) -> MachineDescription:
+def machine_description(number: int, zone: str, spot: bool = False) -> MachineDescription:
     name = f"host-{number:06d}"
     return MachineDescription(name, f"{name}:9", "small", zone, spot)
 
 
 def start(simulation: Simulation, task_id: str, number: int, zone: str, spot: bool = False) -> None:
     simulation.checker.recorded_tasks.add(task_id)
-    simulation.checker.record_start(task_id, machine_of(number, zone, spot), 0.0)
+    simulation.checker.record_start(task_id, machine_description(number, zone, spot), 0.0)
 
 
 # ---- invariant checker ---------------------------------------------------------------------------
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize(
     ("flag", "third_zone"),
-    [("single_zone", "b"), ("spread_zones", "a")],  # a second zone; more than half in one zone
+    [("single_zone", "b"), ("spread_zones", "a")],  # a second zone; over half in one zone
 )
 def test_third_task_in_wrong_zone_is_reported(flag: str, third_zone: str) -> None:
     def scenario(simulation: Simulation) -> None:
@@ -76,11 +76,11 @@
     assert [text.partition(":")[0] for text in violations_after(scenario)] == ["wrong_place"]
 
 
-def test_single_zone_job_may_change_zone_once_all_tasks_have_left() -> None:
+def test_single_zone_job_may_change_zone_once_no_task_runs() -> None:
     def scenario(simulation: Simulation) -> None:
         simulation.jobs["wk-000001"] = job("wk-000001", 2, single_zone=True)
         start(simulation, "wk-000001/0", 1, "a")
-        simulation.checker.record_leave("wk-000001/0", "host-000001")
+        simulation.checker.record_end("wk-000001/0", "host-000001")
         start(simulation, "wk-000001/0", 2, "b")
 
     assert violations_after(scenario) == []
@@ -94,7 +94,7 @@
         ({"spot_allowed": False}, True),
     ],
 )
-def test_machine_that_job_does_not_allow_is_reported(spec: dict[str, Any], spot: bool) -> None:
+def test_start_on_disallowed_machine_is_reported(spec: dict[str, Any], spot: bool) -> None:
     def scenario(simulation: Simulation) -> None:
         simulation.jobs["wk-000001"] = job("wk-000001", 1, **spec)
         start(simulation, "wk-000001/0", 1, "a", spot)
@@ -107,7 +107,7 @@
         simulation.jobs["wk-000001"] = job("wk-000001", 1)
         start(simulation, "wk-000001/0", 1, "a")
         simulation.checker.recorded_tasks.clear()
-        simulation.checker.record_start("wk-000001/0", machine_of(2, "a"), 0.0)
+        simulation.checker.record_start("wk-000001/0", machine_description(2, "a"), 0.0)
 
     assert [text.partition(":")[0] for text in violations_after(scenario)] == [
         "ran_twice",
@@ -115,17 +115,17 @@
     ]
 
 
-def test_tasks_of_hanging_machine_count_until_lease_expires() -> None:
-    """After that they cannot go on, and the leader may start others in their place."""
+def test_tasks_of_hanging_worker_count_until_lease_expires() -> None:
+    """After that they cannot run on, and the leader may start others in their place."""
 
     async def run() -> list[str]:
         simulation = Simulation()
-        simulation.jobs["wk-000001"] = job("wk-000001", 6)  # all that the team may use
+        simulation.jobs["wk-000001"] = job("wk-000001", 6)  # uses the whole quota of the team
         simulation.jobs["wk-000002"] = job("wk-000002", 1)
-        machine = machine_of(1, "a")
+        machine = machine_description(1, "a")
         hanging = Worker(simulation, machine)
         simulation.cloud.machines[machine.name] = RentedMachine(machine, 1e9, hanging)
-        hanging.main_task.cancel()  # it does nothing by itself any more
+        hanging.main_task.cancel()  # the test controls it alone
         hanging.up = hanging.frozen = True
         hanging.lease_renewed_at = asyncio.get_running_loop().time()
         for task in range(6):
@@ -135,7 +135,7 @@
         await asyncio.sleep(simulation.workers.lease_s - 0.5)
         start(simulation, "wk-000002/0", 2, "a")
         assert [text.partition(":")[0] for text in simulation.checker.violations] == ["quota"]
-        simulation.checker.record_leave("wk-000002/0", "host-000002")
+        simulation.checker.record_end("wk-000002/0", "host-000002")
         await asyncio.sleep(1.0)
         start(simulation, "wk-000002/0", 2, "a")
         assert not any(
@@ -146,21 +146,21 @@
     assert play(run()) == []
 
 
-def test_only_jobs_that_users_ask_about_count_as_forgotten() -> None:
-    """The users of a soak stop asking once they know the final state."""
+def test_only_jobs_that_users_poll_count_as_forgotten() -> None:
+    """The users of a soak stop polling once they have received the final status."""
 
     async def run() -> list[str]:
         simulation = Simulation()
-        for job_id, state in (("wk-000001", "done"), ("wk-000002", "running")):
+        for job_id, status in (("wk-000001", "done"), ("wk-000002", "running")):
             simulation.jobs[job_id] = job(job_id, 0)
-            simulation.checker.record_answer(job_id, 200, {"status": state})
+            simulation.checker.record_answer(job_id, 200, {"status": status})
         simulation.checker.faults_ended_at = asyncio.get_running_loop().time()
         await asyncio.sleep(80.0)
         simulation.checker.check_answers(["wk-000002"])
         return simulation.checker.violations
 
-    (broken,) = play(run())
-    assert broken.startswith("forgotten: no answer about wk-000002 for 80 s")
+    (violation,) = play(run())
+    assert violation.startswith("forgotten: no answer about wk-000002 for 80 s")
 
 
 # ---- faults and workload -------------------------------------------------------------------------
@@ -175,7 +175,7 @@
     assert drawn(3) != drawn(4)
 
 
-def test_all_kinds_of_faults_occur_and_end_in_time() -> None:
+def test_all_fault_kinds_occur_and_end_within_duration() -> None:
     seen: Counter[FaultKind] = Counter()
     for seed in range(40):
         for fault in draw_faults(random.Random(seed), 40.0, 2.5):
@@ -184,22 +184,25 @@
     assert set(seen) == set(FaultKind)
 
 
-def test_held_commands_outlast_cancellation_limit() -> None:
-    """Otherwise no soak could show that starts are possible for too long."""
+def test_held_commands_are_delayed_beyond_cancellation_limit() -> None:
+    """Otherwise no soak could detect starts after the time limit of a cancellation."""
 
     async def run() -> None:
-        links = LinkFaults(random.Random(1))
-        links.commands_held_until["host-1"] = asyncio.get_running_loop().time() + 1.0
-        held, free = links.fate("any", "host-1", "/do"), links.fate("any", "host-2", "/do")
+        faults = LinkFaults(random.Random(1))
+        faults.commands_held_until["host-1"] = asyncio.get_running_loop().time() + 1.0
+        held, free = (
+            faults.delivery("any", "host-1", "/do"),
+            faults.delivery("any", "host-2", "/do"),
+        )
         assert held.answer_lost
         assert held.delay_s > CANCEL_S
         assert not free.answer_lost
-        assert not links.fate("any", "host-1", "/show").delay_s
+        assert not faults.delivery("any", "host-1", "/show").delay_s
 
     play(run())
 
 
-def test_workload_covers_all_that_rules_depend_on() -> None:
+def test_workload_covers_all_attributes_that_rules_use() -> None:
     jobs = [
         planned
         for seed in range(10)
@@ -214,21 +217,21 @@
     assert any(planned.cancel_when_running for planned in jobs)
 
 
-def test_links_fail_as_set() -> None:
-    links = LinkFaults(random.Random(1))
-    assert links.fate("node-0", STATE, "/multi") == links.fate("node-0", "host-1", "/do")
-    links.cut.add(frozenset(("node-0", STATE)))
-    assert links.fate("node-0", STATE, "/multi").lost
-    assert not links.fate("node-1", STATE, "/multi").lost
-    links.not_receiving.add("host-1")
-    assert links.fate("controller", "host-1", "/do").lost
-    links.late_writes = links.late_reports = 1.0
-    assert links.fate("node-1", STATE, "/multi").answer_lost
-    assert links.copy_delay_s("/checkin")
-    assert links.copy_delay_s("/ready") is None
-    links.heal()
-    assert not links.fate("node-0", STATE, "/multi").lost
-    assert links.copy_delay_s("/checkin") is None
+def test_link_faults_apply_until_cleared() -> None:
+    faults = LinkFaults(random.Random(1))
+    assert faults.delivery("node-0", STATE, "/multi") == faults.delivery("node-0", "host-1", "/do")
+    faults.cut.add(frozenset(("node-0", STATE)))
+    assert faults.delivery("node-0", STATE, "/multi").lost
+    assert not faults.delivery("node-1", STATE, "/multi").lost
+    faults.not_receiving.add("host-1")
+    assert faults.delivery("controller", "host-1", "/do").lost
+    faults.late_writes = faults.late_heartbeats = 1.0
+    assert faults.delivery("node-1", STATE, "/multi").answer_lost
+    assert faults.duplicate_delay_s("/checkin")
+    assert faults.duplicate_delay_s("/ready") is None
+    faults.clear_all()
+    assert not faults.delivery("node-0", STATE, "/multi").lost
+    assert faults.duplicate_delay_s("/checkin") is None
 
 
 def test_reserved_port_is_exclusive_and_can_be_listened_on() -> None:
@@ -249,7 +252,7 @@
     asyncio.run(listen())
 
 
-# ---- the command ---------------------------------------------------------------------------------
+# ---- soak command --------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -261,25 +264,25 @@
         ["--sources", "/nonexistent"],
     ],
 )
-def test_wrong_arguments_exit_with_2(
+def test_invalid_arguments_exit_with_2(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     try:
         code: int | str | None = main(["soak", *arguments])
-    except SystemExit as ended:
-        code = ended.code
+    except SystemExit as exit_request:
+        code = exit_request.code
     assert code == 2
     assert arguments[0] in capsys.readouterr().err
 
 
-def test_violation_is_shown_with_evidence_and_command_to_repeat() -> None:
+def test_result_with_violation_has_evidence_and_repeat_command() -> None:
     result = SeedResult(7, jobs=3, done=2, violations=["quota: red"], evidence=["1.0 something"])
-    text = shown(result, LoopbackOptions(seconds=9.0, controllers=5, machines=6))
+    text = format_result(result, LoopbackOptions(seconds=9.0, controllers=5, machines=6))
     assert "seed 7: BROKEN" in text
     assert "quota: red" in text
     assert "1.0 something" in text
     assert "soak --seeds 1 --first-seed 7 --seconds 9 --controllers 5 --machines 6" in text
-    assert "seed 7: ok" in shown(SeedResult(7), LoopbackOptions())
+    assert "seed 7: ok" in format_result(SeedResult(7), LoopbackOptions())
 
 
 def children_of(parent: int) -> list[int]:
@@ -288,23 +291,23 @@
         try:
             fields = path.read_text().rpartition(")")[2].split()
         except OSError:
-            continue  # it has just ended
+            continue  # the process has just exited
         if int(fields[1]) == parent:
             found.append(int(path.parent.name))
     return found
 
 
-def wait_for(met: Callable[[], bool], within_s: float = 30.0) -> bool:
+def wait_for(condition: Callable[[], bool], within_s: float = 30.0) -> bool:
     end = time.monotonic() + within_s
     while time.monotonic() < end:
-        if met():
+        if condition():
             return True
         time.sleep(0.1)
-    return met()
+    return condition()
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_interrupt_ends_all_processes(number: signal.Signals) -> None:
+def test_signal_ends_all_processes(number: signal.Signals) -> None:
     command = [sys.executable, str(ROOT / "run.py"), "soak", "--seconds", "60"]
     soak = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     try:
@@ -318,7 +321,7 @@
     assert wait_for(lambda: not any(os.path.exists(f"/proc/{child}") for child in children))
 
 
-def test_a_forgotten_job_is_found() -> None:
+def test_job_without_answer_after_faults_is_forgotten() -> None:
     async def main() -> None:
         simulation = Simulation()
         await simulation.submit(job("wk-000001", 2))
