--- a/petrelthread/admin/__init__.py
+++ b/petrelthread/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The administration API: what operators may see and change, through any controller."""
+"""The administration API: views and settings for operators, available on every controller."""
 
 from petrelthread.admin.alerts import AlertTracker
 from petrelthread.admin.api import ADMIN_PREFIX, Admin
--- a/petrelthread/admin/alerts.py
+++ b/petrelthread/admin/alerts.py
@@ -1,4 +1,4 @@
-"""Alerts: conditions that operators should know of, logged when they begin and when they end."""
+"""Alerts: conditions that need an operator's attention, logged when they begin and end."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 log = logging.getLogger(__name__)
 
-RAISE_AFTER_S = 2.0  # that a condition has to last, so that short ones do not flood the log
+RAISE_AFTER_S = 2.0  # shorter conditions are not logged, so that they do not flood the log
 
 
 class Alert(NamedTuple):
-    """A condition that holds."""
+    """An active condition: when it began, and whether it has been logged."""
 
     since: float
     logged: bool
 
 
 class AlertTracker:
-    """Knows since when each condition holds, by its kind."""
+    """Tracks the active conditions by kind, and logs those that last."""
 
     def __init__(self) -> None:
         self.active: dict[str, Alert] = {}
 
     def update(self, conditions: Mapping[str, str], now: float) -> None:
-        """Log the conditions that have lasted long enough, and those that were logged and ended.
+        """Log conditions that have lasted ``RAISE_AFTER_S``, and the end of logged conditions.
 
         Args:
-            conditions: all that hold now, by kind, with the text to log.
+            conditions: all active conditions: kind to the text to log.
             now: the event loop's time in seconds.
         """
         for kind, text in conditions.items():
@@ -42,6 +42,6 @@
                 log.info("alert over after %.0f s: %s", now - alert.since, kind)
 
     def duration_s(self, kind: str, now: float) -> float:
-        """How many seconds the condition has lasted; 0 if it does not hold."""
+        """Return how many seconds the condition has lasted; 0 if it is not active."""
         alert = self.active.get(kind)
         return now - alert.since if alert else 0.0
--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -1,6 +1,6 @@
 """Routes of the administration API, below ``/admin/v1/`` on the peer address.
 
-What only the leader knows is fetched from the leader.
+Followers forward requests for views to the leader, which alone knows the state of the machines.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 log = logging.getLogger(__name__)
 
 ADMIN_PREFIX = "/admin/v1/"
-DIRECT = "direct=1"  # query of a forwarded request: answer from here, whoever leads
+DIRECT_QUERY = "direct=1"  # query that asks for a local answer, also from a follower
 FORWARD_TIMEOUT_S = 1.5
 
 
 class Admin:
-    """Answers operators' requests, and those that siblings forward to the leader."""
+    """Handles operators' requests, and requests that siblings forward to the leader."""
 
     def __init__(self, parts: ControllerParts, request: Request) -> None:
         """``request``: sends requests to siblings."""
@@ -43,27 +43,28 @@
             return error_response(404, "no such path")
         if method != "GET":
             return error_response(405, "use GET")
-        # After a pause of the process or a partition this node may take itself for the leader
-        # still: the state is read again first, so that it shows nothing older than others have.
+        # After a process pause or a partition this controller may wrongly believe that it leads.
+        # The cached state is refreshed first, so that the view is not older than on other
+        # controllers.
         await self._parts.watch_cache.refresh()
-        forwarded = None if DIRECT in query else await self._ask_leader(path)
-        return forwarded or self._show(view, name)
+        forwarded = None if DIRECT_QUERY in query else await self._forward_to_leader(path)
+        return forwarded or self._answer_locally(view, name)
 
-    async def _ask_leader(self, path: str) -> Response | None:
-        """The leader's answer; None if this node leads, or the leader does not answer."""
+    async def _forward_to_leader(self, path: str) -> Response | None:
+        """Return the leader's response; None if this controller leads or there is no response."""
         address = self._addresses.get(self._parts.election.leader_name or "")
         if self._parts.election.is_leader or not address:
             return None
         try:
             answer = await self._request(
-                address, "GET", f"{path}?{DIRECT}", timeout=FORWARD_TIMEOUT_S
+                address, "GET", f"{path}?{DIRECT_QUERY}", timeout=FORWARD_TIMEOUT_S
             )
         except NoResponseError as error:
-            log.info("the leader does not answer, showing what this node knows: %s", error)
+            log.info("no response from the leader, answering from local state: %s", error)
             return None
         return Response(answer.status, answer.body)
 
-    def _show(self, view: str, name: str) -> Response:
+    def _answer_locally(self, view: str, name: str) -> Response:
         now = asyncio.get_running_loop().time()
         if view == "status":
             return json_response(200, views.status_view(self._parts, now))
--- a/petrelthread/admin/conditions.py
+++ b/petrelthread/admin/conditions.py
@@ -1,6 +1,6 @@
-"""Conditions that hold now and that operators should know of, in plain sentences.
+"""Detects conditions that need an operator's attention, and describes each in a sentence.
 
-Each check returns the sentence to show, or an empty string while its condition does not hold.
+Each check returns the sentence to show, or an empty string if its condition is not active.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.fleet import Health
 
-LIMIT_ALERT_S = 10.0  # how long after a limit was last met it is still shown
-PAUSE_ALERT_S = 10.0  # how long after a pause of the process it is still shown
-STATE_SERVICE_TIMEOUT_S = 3.0  # without news of the state service
+LIMIT_ALERT_S = 10.0  # a limit is shown for this long after it was last exceeded
+PAUSE_ALERT_S = 10.0  # a process pause is shown for this long after its end
+STATE_SERVICE_TIMEOUT_S = 3.0  # maximum age of the cached state
 MAX_NAMED_JOBS = 5
 
 
 class ConditionKind(StrEnum):
-    """What a condition is about; its text may change while it lasts, its kind does not."""
+    """Identifies a condition; its text may change while it lasts, its kind does not."""
 
     STATE_SERVICE = "state"
     NO_LEADER = "leader"
@@ -34,14 +34,14 @@
 
 
 def active_conditions(parts: ControllerParts, now: float) -> dict[str, str]:
-    """All conditions that hold: by kind, the sentence that tells of each."""
+    """Return all active conditions: kind to descriptive sentence."""
     checks = {**_CONTROLLER_CHECKS, **(_LEADER_CHECKS if parts.election.is_leader else {})}
     texts = {kind: check(parts, now) for kind, check in checks.items()}
     return {kind.value: text for kind, text in texts.items() if text}
 
 
 def partitioned_machine_count(parts: ControllerParts) -> int:
-    """Machines whose heartbeats arrive, while our responses and commands do not reach them."""
+    """Count machines in an asymmetric partition: they send heartbeats but receive nothing."""
     return sum(
         bool(machine.partition_reason) and machine.health is Health.UP
         for machine in parts.fleet.machines.values()
@@ -49,12 +49,12 @@
 
 
 def cut_off_zone_names(parts: ControllerParts) -> str:
-    """Names of the zones that are cut off, separated by commas."""
+    """Return the names of the zones that are cut off, separated by commas."""
     names = parts.cluster_state.names.zones
     return ", ".join(names.name(zone) for zone in sorted(parts.zone_monitor.cut_off_since))
 
 
-# ---- on every controller -------------------------------------------------------------------------
+# ---- checks on every controller ------------------------------------------------------------------
 
 
 def _state_service(parts: ControllerParts, now: float) -> str:
@@ -66,7 +66,7 @@
 
 
 def _no_leader(parts: ControllerParts, now: float) -> str:
-    # Without the state service nothing is known of a leader.
+    # Without the state service it is unknown whether there is a leader.
     if parts.election.leader is not None or _state_service(parts, now):
         return ""
     return "there is no leader: nothing is started"
@@ -96,7 +96,7 @@
     )
 
 
-# ---- on the leader -------------------------------------------------------------------------------
+# ---- checks on the leader only -------------------------------------------------------------------
 
 
 def _late_starts(parts: ControllerParts, _now: float) -> str:
@@ -129,9 +129,9 @@
     ]
     if not failing:
         return ""
-    named = ", ".join(failing[:MAX_NAMED_JOBS])
+    names = ", ".join(failing[:MAX_NAMED_JOBS])
     more = ", ..." if len(failing) > MAX_NAMED_JOBS else ""
-    return f"{len(failing)} jobs fail everywhere until they are cancelled: {named}{more}"
+    return f"{len(failing)} jobs fail everywhere until they are cancelled: {names}{more}"
 
 
 def _reserved_machines(parts: ControllerParts, _now: float) -> str:
--- a/petrelthread/admin/controller_parts.py
+++ b/petrelthread/admin/controller_parts.py
@@ -1,4 +1,4 @@
-"""What the administration API sees of a controller."""
+"""The interface through which the administration API accesses a controller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class ControllerParts(Protocol):
-    """The parts of a controller that views and alerts read; none of them changes anything."""
+    """The parts of a controller that the administration API uses.
+
+    Views and alerts only read them. ``SettingsApi`` also writes the settings, through ``state``.
+    """
 
     @property
     def settings(self) -> Settings:
@@ -30,48 +33,48 @@
 
     @property
     def cluster_state(self) -> ClusterState:
-        """Jobs, attempts and records, as stored."""
+        """Jobs, attempts and records, as read from the state service."""
 
     @property
     def watch_cache(self) -> WatchCache:
-        """How current the stored state is here."""
+        """The watch on the state service, which keeps ``cluster_state`` current."""
 
     @property
     def election(self) -> Election:
-        """Who leads."""
+        """The leader election."""
 
     @property
     def peer_monitor(self) -> PeerMonitor:
-        """Siblings' heartbeats."""
+        """The newest heartbeat of each sibling."""
 
     @property
     def fleet(self) -> Fleet:
-        """Machines, as the leader knows them."""
+        """Machines and their health; maintained on the leader only."""
 
     @property
     def zone_monitor(self) -> ZoneMonitor:
-        """Zones that are cut off."""
+        """Detects zones that are cut off."""
 
     @property
     def view(self) -> ClusterView:
-        """Demand and free capacity."""
+        """Demand, team usage and free capacity."""
 
     @property
     def scheduler(self) -> Scheduler:
-        """Placement rounds."""
+        """Decides placement rounds."""
 
     @property
     def provisioner(self) -> Provisioner:
-        """Operations in the cloud."""
+        """Rents and returns machines; holds the cloud operations."""
 
     @property
     def pause_detector(self) -> PauseDetector:
-        """Pauses of this process."""
+        """Detects pauses of this process."""
 
     @property
     def load_shedder(self) -> LoadShedder:
-        """Requests that were refused for overload."""
+        """Sheds requests under overload, and counts them."""
 
     @property
     def alerts(self) -> AlertTracker:
-        """Conditions that operators should know of."""
+        """Tracks how long each condition has been active."""
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -1,4 +1,4 @@
-"""Why a job waits, in one plain sentence with the numbers behind it."""
+"""Explains in one sentence, with numbers, why a job waits."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from petrelthread.scheduling import MachineCapacity, zone_headroom
 from petrelthread.state import Attempt, Job, OperationState
 
-EPSILON = 1e-6  # of sums of cores
+CORES_TOLERANCE = 1e-6  # rounding error allowed in sums of cores
 
 
 def is_unreachable(parts: ControllerParts, attempt: Attempt) -> bool:
-    """Its machine is unresponsive or being returned: the attempt may still run there."""
+    """Return whether its machine is unresponsive or terminating; the attempt may still run."""
     machine = parts.fleet.machines.get(attempt.machine)
     return machine is not None and machine.health in (Health.UNRESPONSIVE, Health.TERMINATING)
 
 
 def serving_replicas(parts: ControllerParts, job: Job) -> int:
-    """How many replicas of a service run where they can be reached."""
+    """Count the running replicas of a service on reachable machines."""
     return sum(
         attempt.reported_state == protocol.TaskState.RUNNING
         and attempt.state is OperationState.CONFIRMED
@@ -34,7 +34,7 @@
 
 
 def explain_waiting(parts: ControllerParts, job: Job, now: float) -> str:
-    """The first cause that holds, from the service as a whole down to the job's own machines."""
+    """Return the first cause that applies, from cluster-wide causes down to the job's machines."""
     if job.final_status is not None:
         return f"It is over: {job.final_status}."
     if now - parts.watch_cache.current_as_of > STATE_SERVICE_TIMEOUT_S:
@@ -45,7 +45,7 @@
     progress = _progress(parts, job)
     if job.pending_count == 0:
         return f"{progress}; {_explain_live_attempts(parts, job, now)}"
-    causes = (_failing, _over_team_limit, _placeable, _no_capacity)
+    causes = (_failing_repeatedly, _over_team_limit, _has_room, _lacks_capacity)
     cause = next(filter(None, (explain(parts, job, now) for explain in causes)), "")
     return f"{progress}, {job.pending_count} waiting: {cause}"
 
@@ -63,7 +63,7 @@
     )
 
 
-# ---- nothing is pending --------------------------------------------------------------------------
+# ---- jobs without pending tasks ------------------------------------------------------------------
 
 
 def _explain_live_attempts(parts: ControllerParts, job: Job, now: float) -> str:
@@ -93,10 +93,10 @@
     return f"{text}: they start elsewhere once its return is confirmed, in at most {left_s:.0f} s."
 
 
-# ---- causes for which pending tasks wait; an empty string where one does not hold ----------------
+# ---- causes of pending tasks; each returns an empty string if it does not apply ------------------
 
 
-def _failing(parts: ControllerParts, job: Job, now: float) -> str:
+def _failing_repeatedly(parts: ControllerParts, job: Job, now: float) -> str:
     machine_count = len(parts.fleet.job_failures.failed_on(job))
     retry = f"tried again in {job.retry_at - now:.0f} s"
     if parts.fleet.job_failures.is_suspect(job):
@@ -113,30 +113,34 @@
 def _over_team_limit(parts: ControllerParts, job: Job, _now: float) -> str:
     team = parts.view.teams[job.team]
     used_cores = parts.view.team_usage()[job.team].cores
-    if used_cores + job.cores <= team.most_cores + EPSILON:
+    if used_cores + job.cores <= team.most_cores + CORES_TOLERANCE:
         return ""
     return f"team {team.name} uses {used_cores:g} of its limit of {team.cpus_max:g} cores."
 
 
-def _slots(parts: ControllerParts) -> list[MachineCapacity]:
+def _machine_capacities(parts: ControllerParts) -> list[MachineCapacity]:
     capacity = parts.view.free_capacity()
     return [*capacity.usable.machines.values(), *capacity.surplus.machines.values()]
 
 
-def _placeable(parts: ControllerParts, job: Job, _now: float) -> str:
+def _has_room(parts: ControllerParts, job: Job, _now: float) -> str:
     request = parts.view.placement_request(job)
-    fitting = [slot for slot in _slots(parts) if slot.allows(request) and slot.fits(request)]
+    fitting = [
+        machine
+        for machine in _machine_capacities(parts)
+        if machine.allows(request) and machine.fits(request)
+    ]
     if not fitting:
         return ""
     headroom = zone_headroom(request)
-    if any(headroom(slot.zone) > 0 for slot in fitting):
+    if any(headroom(machine.zone) > 0 for machine in fitting):
         return "there is room; it is placed in the next round."
     return "there is room only in zones that its tasks may not be in beside the others."
 
 
-def _no_capacity(parts: ControllerParts, job: Job, now: float) -> str:
+def _lacks_capacity(parts: ControllerParts, job: Job, now: float) -> str:
     request = parts.view.placement_request(job)
-    allowed = sum(slot.allows(request) for slot in _slots(parts))
+    allowed = sum(machine.allows(request) for machine in _machine_capacities(parts))
     booting = sum(machine.health is Health.BOOTING for machine in parts.fleet.machines.values())
     reasons = "".join(f"; {reason}" for reason in _capacity_reasons(parts, job, now))
     return (
@@ -146,7 +150,7 @@
 
 
 def _capacity_reasons(parts: ControllerParts, job: Job, now: float) -> list[str]:
-    """What keeps more machines from being there."""
+    """Return the reasons why there are not more machines or why the job does not get them."""
     names = parts.cluster_state.names
     refused = [
         f"{names.machine_types.name(machine_type)} {'spot' if spot else 'ordinary'}"
@@ -165,4 +169,4 @@
         ),
         f"cut off: {cut_off}": bool(cut_off),
     }
-    return [reason for reason, holds in reasons.items() if holds]
+    return [reason for reason, applies in reasons.items() if applies]
--- a/petrelthread/admin/setting_definitions.py
+++ b/petrelthread/admin/setting_definitions.py
@@ -1,4 +1,4 @@
-"""Operators' own settings: kept in the state service, checked before they are stored."""
+"""Settings that operators change at run time: validated, then stored in the state service."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from petrelthread.provisioning import ProvisioningOptions
 
-_RENTAL = ProvisioningOptions()
+_DEFAULTS = ProvisioningOptions()
 
 
 class SettingDefinition(NamedTuple):
-    """Default and range of one setting, and what it does."""
+    """Default, permitted range and description of one setting."""
 
     default: float
     minimum: float
@@ -21,34 +21,34 @@
 
 SETTING_DEFINITIONS: dict[str, SettingDefinition] = {
     "spot_drain_s": SettingDefinition(
-        _RENTAL.spot_drain_s, 5, 3600, "rent spot until backlog drains in this"
+        _DEFAULTS.spot_drain_s, 5, 3600, "rent spot until backlog drains in this"
     ),
     "dear_drain_s": SettingDefinition(
-        _RENTAL.on_demand_drain_s, 5, 3600, "rent ordinary until it drains in this"
+        _DEFAULTS.on_demand_drain_s, 5, 3600, "rent ordinary until it drains in this"
     ),
     "patient_drain_s": SettingDefinition(
-        _RENTAL.patient_drain_s, 5, 36000, "rent ordinary for work without goals until it drains"
+        _DEFAULTS.patient_drain_s, 5, 36000, "rent ordinary for work without goals until it drains"
     ),
     "due_share": SettingDefinition(
-        _RENTAL.due_share, 0.1, 1, "share of the time until due to plan work into"
+        _DEFAULTS.due_share, 0.1, 1, "share of the time until due to plan work into"
     ),
     "due_least_s": SettingDefinition(
-        _RENTAL.due_least_s, 5, 3600, "plan nothing as due sooner than this"
+        _DEFAULTS.due_least_s, 5, 3600, "plan nothing as due sooner than this"
     ),
     "keep_share": SettingDefinition(
-        _RENTAL.keep_share, 0.05, 1, "keep ordinary machines until this share"
+        _DEFAULTS.keep_share, 0.05, 1, "keep ordinary machines until this share"
     ),
     "dear_fill": SettingDefinition(
-        _RENTAL.on_demand_fill, 0, 1, "share of an ordinary machine that must be needed"
+        _DEFAULTS.on_demand_fill, 0, 1, "share of an ordinary machine that must be needed"
     ),
     "idle_s": SettingDefinition(
-        _RENTAL.spot_idle_s, 0, 3600, "return idle surplus spot machines after this"
+        _DEFAULTS.spot_idle_s, 0, 3600, "return idle surplus spot machines after this"
     ),
     "dear_idle_s": SettingDefinition(
-        _RENTAL.on_demand_idle_s, 0, 3600, "return idle ordinary machines after this"
+        _DEFAULTS.on_demand_idle_s, 0, 3600, "return idle ordinary machines after this"
     ),
     "reserve_share": SettingDefinition(
-        _RENTAL.reserve_share, 0, 5, "share of late urgent demand kept ready"
+        _DEFAULTS.reserve_share, 0, 5, "share of late urgent demand kept ready"
     ),
     "round_gap_s": SettingDefinition(0.25, 0.05, 10, "least gap between placement rounds"),
     "round_budget_s": SettingDefinition(0.05, 0.005, 1, "time one round of decisions may take"),
@@ -56,23 +56,23 @@
 
 
 class InvalidSettingError(Exception):
-    """The change is refused; the text gives reason and allowed range."""
+    """A change is refused; the text, sent to the operator, gives reason and allowed range."""
 
 
 def validate_setting(name: str, value: Any) -> float:
-    """The value as a number.
+    """Return the value as a number.
 
     Raises:
-        InvalidSettingError: the setting is unknown, or the value is no number in its range.
+        InvalidSettingError: the setting is unknown, or the value is not a number in its range.
     """
     definition = SETTING_DEFINITIONS.get(name)
     if definition is None:
         raise InvalidSettingError(
             f"unknown setting {name}; known: {', '.join(SETTING_DEFINITIONS)}"
         )
-    number = isinstance(value, int | float) and not isinstance(value, bool)
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if (
-        not number
+        not is_number
         or not math.isfinite(value)
         or not definition.minimum <= value <= definition.maximum
     ):
@@ -83,7 +83,7 @@
 
 
 def with_defaults(stored: dict[str, Any]) -> dict[str, float]:
-    """What is in force. Stored values that are not valid (any more) count as not set."""
+    """Return the values in force; stored values that are not (or no longer) valid are ignored."""
     values = {name: float(definition.default) for name, definition in SETTING_DEFINITIONS.items()}
     for name, value in stored.items():
         try:
@@ -94,7 +94,7 @@
 
 
 def provisioning_options(values: dict[str, float]) -> ProvisioningOptions:
-    """The provisioner's options from the settings, whose names are older."""
+    """Return the provisioner's options; some settings keep older names ("dear" is on-demand)."""
     return ProvisioningOptions(
         spot_drain_s=values["spot_drain_s"],
         on_demand_drain_s=values["dear_drain_s"],
--- a/petrelthread/admin/settings_api.py
+++ b/petrelthread/admin/settings_api.py
@@ -1,4 +1,4 @@
-"""Operators' settings: read and changed through any controller, with optimistic locking."""
+"""Reads and changes the operators' settings on any controller, with optimistic locking."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 
 class _Change(NamedTuple):
-    """One change; a value of None goes back to the default."""
+    """A requested change of one setting; a value of None restores the default."""
 
     name: str
     value: float | None
-    version: int  # of the settings that the operator has read
+    version: int  # revision of the settings that the change is based on
 
 
 class SettingsApi:
-    """Answers requests for the operators' settings."""
+    """Handles requests that read or change the operators' settings."""
 
     def __init__(self, parts: ControllerParts) -> None:
         self._parts = parts
 
     async def handle(self, method: str, body: bytes) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         if method == "GET":
             return await self._read()
         if method != "PUT":
@@ -95,7 +95,11 @@
 
 
 def _parse_change(body: bytes) -> _Change:
-    """Decode and check a change. Raises InvalidSettingError."""
+    """Decode and validate a change.
+
+    Raises:
+        InvalidSettingError: the body, the name or the value is invalid.
+    """
     try:
         change = orjson.loads(body)
         name, value, version = change["name"], change["value"], change["version"]
--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' surface, over the stand-ins."""
+"""The administration API on simulated controllers, and the command line's errors."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return reply.status, orjson.loads(reply.body)
 
 
-def test_why_a_job_waits() -> None:
+def test_views_explain_a_waiting_job_and_report_a_zone_down() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         await simulation.submit(job("wk-000001", 20, estimated_run_s=60.0))
@@ -29,7 +29,7 @@
         _, got = await admin(simulation, "n1", "GET", "jobs/wk-000001")
         assert "booting" in got["why"]
         await simulation.wait_until_running(6)
-        for node in NODES:  # followers ask the leader
+        for node in NODES:  # followers forward the request to the leader
             _, got = await admin(simulation, node, "GET", "jobs/wk-000001")
             assert "team red uses 12 of its limit of 12 cores" in got["why"], got["why"]
         assert (await admin(simulation, "n0", "GET", "jobs/wk-000099"))[0] == 404
@@ -40,17 +40,17 @@
         simulation.net.partitions |= {
             frozenset((m, n)) for m in simulation.cloud.machines for n in NODES
         }
-        said: set[str] = set()
+        zone_texts: set[str] = set()
         for _ in range(30):
             await asyncio.sleep(0.5)
             _, got = await admin(simulation, "n0", "GET", "zones")
-            said |= {z["says"] for z in got["zones"]}
-        assert any(says.startswith("DOWN") for says in said)
+            zone_texts |= {z["says"] for z in got["zones"]}
+        assert any(says.startswith("DOWN") for says in zone_texts)
 
     play(scenario())
 
 
-def test_settings_are_checked_versioned_and_applied_everywhere() -> None:
+def test_settings_are_validated_versioned_and_applied_on_all_controllers() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         await simulation.wait_for_leader()
@@ -80,7 +80,9 @@
     play(scenario())
 
 
-def test_command_line(capsys: pytest.CaptureFixture[str]) -> None:
+def test_command_line_errors_go_to_stderr_and_set_the_exit_code(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert main(["status", "--address", "127.0.0.1:1"]) == 1
     shown = capsys.readouterr().err
     assert shown.count("\n") == 1
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -18,7 +18,7 @@
 
 
 def status_view(parts: ControllerParts, now: float) -> JsonObject:
-    """Everything that fits on one screen: leader, siblings, machines, teams, backlog, alerts."""
+    """Summarize the cluster: leader, siblings, zones, machines, teams, backlog and alerts."""
     election = parts.election
     return {
         "node": parts.settings.host_name,
@@ -41,7 +41,7 @@
 
 
 def job_view(parts: ControllerParts, job: Job, now: float) -> JsonObject:
-    """How one job stands, and why it waits."""
+    """Describe the status of one job and why it waits."""
     kind = protocol.JobKind.ARRAY
     if job.is_service:
         kind = protocol.JobKind.SERVICE
@@ -61,7 +61,7 @@
 
 
 def zones_view(parts: ControllerParts) -> list[JsonObject]:
-    """For each zone whether it serves, and how many of its machines do."""
+    """Describe each zone: a status text and its machines by health."""
     names = parts.cluster_state.names.zones
     counts: list[Counter[Health]] = [Counter() for _ in range(len(names))]
     for machine in parts.fleet.machines.values():
@@ -92,7 +92,7 @@
 
 
 def unknown_operations(parts: ControllerParts, now: float) -> list[JsonObject]:
-    """Operations with an unknown result, with their age and the evidence that will settle them."""
+    """List operations with an unknown result, their age and the evidence that will settle them."""
     return [
         *_unknown_cloud_operations(parts, now),
         *_unacknowledged_starts(parts, now),
@@ -134,12 +134,12 @@
         machine = parts.fleet.machines.get(index)
         if not unknown or machine is None:
             continue
-        left_s = max(0.0, parts.fleet.lease_expires_at(machine) - now)
+        remaining_s = max(0.0, parts.fleet.lease_expires_at(machine) - now)
         found.append(
             {
                 "operation": f"{unknown} starts on {machine.name}",
                 "age_s": round(now - machine.last_seen_at, 1),
-                "awaits": f"its report, its return, or its lease's end in {left_s:.0f} s",
+                "awaits": f"its report, its return, or its lease's end in {remaining_s:.0f} s",
             }
         )
     return found
@@ -182,7 +182,7 @@
 
 
 def _backlog(parts: ControllerParts) -> dict[str, dict[str, int]]:
-    """By job class: jobs, and tasks that wait or are on machines; replicas of services."""
+    """Count per job class: jobs, pending tasks, live attempts, and replicas of services."""
     names = parts.cluster_state.names.job_classes
     backlog: dict[str, dict[str, int]] = {}
     for job in parts.cluster_state.open_jobs.values():
