--- a/petrelthread/admin/conditions.py
+++ b/petrelthread/admin/conditions.py
@@ -41,7 +41,7 @@
 
 
 def partitioned_machine_count(parts: ControllerParts) -> int:
-    """Count machines in an asymmetric partition: they send heartbeats but receive nothing."""
+    """Count machines whose heartbeats arrive, but that responses and commands do not reach."""
     return sum(
         bool(machine.partition_reason) and machine.health is Health.UP
         for machine in parts.fleet.machines.values()
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -126,21 +126,21 @@
 def _has_room(parts: ControllerParts, job: Job, _now: float) -> str:
     request = parts.view.placement_request(job)
     fitting = [
-        machine
-        for machine in _machine_capacities(parts)
-        if machine.allows(request) and machine.fits(request)
+        candidate
+        for candidate in _machine_capacities(parts)
+        if candidate.allows(request) and candidate.fits(request)
     ]
     if not fitting:
         return ""
     headroom = zone_headroom(request)
-    if any(headroom(machine.zone) > 0 for machine in fitting):
+    if any(headroom(candidate.zone) > 0 for candidate in fitting):
         return "there is room; it is placed in the next round."
     return "there is room only in zones that its tasks may not be in beside the others."
 
 
 def _lacks_capacity(parts: ControllerParts, job: Job, now: float) -> str:
     request = parts.view.placement_request(job)
-    allowed = sum(machine.allows(request) for machine in _machine_capacities(parts))
+    allowed = sum(candidate.allows(request) for candidate in _machine_capacities(parts))
     booting = sum(machine.health is Health.BOOTING for machine in parts.fleet.machines.values())
     reasons = "".join(f"; {reason}" for reason in _capacity_reasons(parts, job, now))
     return (
--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -1,4 +1,7 @@
-"""Subcommands and their arguments. ``--config FILE`` without one starts the controller."""
+"""Subcommands and their arguments.
+
+``--config FILE`` without a subcommand starts the controller.
+"""
 
 from __future__ import annotations
 
--- a/petrelthread/cli/serve.py
+++ b/petrelthread/cli/serve.py
@@ -18,8 +18,8 @@
 EXIT_INTERRUPTED = 130  # as shells report SIGINT
 
 LEASE_SOCKETS = 2  # outgoing sockets reserved for renewals of the leader's lease
-# A public connection without a request for MISSED_HEARTBEATS heartbeat intervals and STALE_MARGIN_S
-# is stale: its worker has terminated or is partitioned.
+# A public connection is stale after MISSED_HEARTBEATS heartbeat intervals plus STALE_MARGIN_S
+# without a request: its worker has terminated or is partitioned.
 MISSED_HEARTBEATS = 2.5
 STALE_MARGIN_S = 2.0
 IDLE_CHECK_INTERVAL_S = 5.0  # between two checks for idle outgoing connections
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,9 +35,9 @@
 ) -> None:
     test = tmp_path / "test_one.py"
     test.write_text(source)
-    listed = tmp_path / "KNOWN-RED.txt"
-    listed.write_text(f"{test}::test_it | pytest, seed 7 | seen, with commas | issue 1\n")
-    assert known_red.main(listed) == code
+    list_path = tmp_path / "KNOWN-RED.txt"
+    list_path.write_text(f"{test}::test_it | pytest, seed 7 | seen, with commas | issue 1\n")
+    assert known_red.main(list_path) == code
     out, err = capsys.readouterr()
     assert "known red" in err
     assert out == (f"--deselect={test}::test_it\n" if code == 0 else "")
@@ -57,9 +57,9 @@
 def test_fourth_entry_or_malformed_line_is_refused(
     known_red: ModuleType, tmp_path: Path, text: str
 ) -> None:
-    listed = tmp_path / "KNOWN-RED.txt"
-    listed.write_text(text)
-    assert known_red.main(listed) == 1
+    list_path = tmp_path / "KNOWN-RED.txt"
+    list_path.write_text(text)
+    assert known_red.main(list_path) == 1
 
 
 def test_missing_list_is_valid(known_red: ModuleType, tmp_path: Path) -> None:
