--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' surface, over the stand-ins."""
+"""The administration API on simulated controllers, and the command line's errors."""
 
 from __future__ import annotations
 
@@ -21,36 +21,36 @@
     return reply.status, orjson.loads(reply.body)
 
 
-def test_why_a_job_waits() -> None:
+def test_views_explain_a_waiting_job_and_report_a_zone_down() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         await simulation.submit(job("wk-000001", 20, estimated_run_s=60.0))
         await asyncio.sleep(2.0)
-        _, got = await admin(simulation, "n1", "GET", "jobs/wk-000001")
-        assert "booting" in got["why"]
+        _, answer = await admin(simulation, "n1", "GET", "jobs/wk-000001")
+        assert "booting" in answer["why"]
         await simulation.wait_until_running(6)
-        for node in NODES:  # followers ask the leader
-            _, got = await admin(simulation, node, "GET", "jobs/wk-000001")
-            assert "team red uses 12 of its limit of 12 cores" in got["why"], got["why"]
+        for node in NODES:  # followers forward the request to the leader
+            _, answer = await admin(simulation, node, "GET", "jobs/wk-000001")
+            assert "team red uses 12 of its limit of 12 cores" in answer["why"], answer["why"]
         assert (await admin(simulation, "n0", "GET", "jobs/wk-000099"))[0] == 404
-        _, got = await admin(simulation, "n2", "GET", "status")
-        assert got["leader"] == await simulation.wait_for_leader()
-        assert got["backlog"]["batch"]["jobs"] == 1
-        assert sum(t["cores"] for t in got["teams"]) == 12.0
+        _, answer = await admin(simulation, "n2", "GET", "status")
+        assert answer["leader"] == await simulation.wait_for_leader()
+        assert answer["backlog"]["batch"]["jobs"] == 1
+        assert sum(t["cores"] for t in answer["teams"]) == 12.0
         simulation.net.partitions |= {
             frozenset((m, n)) for m in simulation.cloud.machines for n in NODES
         }
-        said: set[str] = set()
+        zone_texts: set[str] = set()
         for _ in range(30):
             await asyncio.sleep(0.5)
-            _, got = await admin(simulation, "n0", "GET", "zones")
-            said |= {z["says"] for z in got["zones"]}
-        assert any(says.startswith("DOWN") for says in said)
+            _, answer = await admin(simulation, "n0", "GET", "zones")
+            zone_texts |= {z["says"] for z in answer["zones"]}
+        assert any(says.startswith("DOWN") for says in zone_texts)
 
     play(scenario())
 
 
-def test_settings_are_checked_versioned_and_applied_everywhere() -> None:
+def test_settings_are_validated_versioned_and_applied_on_all_controllers() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         await simulation.wait_for_leader()
@@ -64,7 +64,7 @@
         assert (await put("colour", 1, 0))[0] == 400
         assert (await put("idle_s", 7, "x"))[0] == 400
         assert (await admin(simulation, "n1", "PUT", "settings", []))[0] == 400
-        status, got = await put("idle_s", 7, 0)
+        status, answer = await put("idle_s", 7, 0)
         assert status == 200
         assert (await put("idle_s", 8, 0))[0] == 409
         await asyncio.sleep(1.0)
@@ -73,14 +73,16 @@
             7.0,
             7.0,
         ]
-        assert (await put("idle_s", None, got["version"]))[0] == 200
+        assert (await put("idle_s", None, answer["version"]))[0] == 200
         await asyncio.sleep(1.0)
         assert simulation.nodes["n2"].provisioning_options.spot_idle_s != 7.0
 
     play(scenario())
 
 
-def test_command_line(capsys: pytest.CaptureFixture[str]) -> None:
+def test_command_line_errors_go_to_stderr_and_set_the_exit_code(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert main(["status", "--address", "127.0.0.1:1"]) == 1
     shown = capsys.readouterr().err
     assert shown.count("\n") == 1
