--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellations that meet failures, other controllers, or the end of a job."""
+"""Cancellations during faults, through other controllers, and at the end of a job."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 @pytest.mark.parametrize("unread", ["refused", "watch lost", "watch slow"])
 @pytest.mark.parametrize("before_s", [0.5, 2.0, 8.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_cancellation_at_another_controller_before_a_long_outage_holds(
+def test_cancellation_unread_by_the_leader_takes_effect_during_a_long_outage(
     unread: str, before_s: float, seed: int
 ) -> None:
-    """The leader has not read the cancellation, and keeps hearing its workers.
+    """The leader has not read the cancellation and still receives heartbeats.
 
-    A renewal of the lease says nothing about what others wrote: with renewals going through and
-    the watch lost, tasks of cancelled jobs ran on for longer than ``cancel_s``.
+    A lease renewal does not show what others wrote. While renewals succeeded and the watch failed,
+    the leader renewed the workers' leases, and tasks of cancelled jobs ran for longer than
+    ``cancel_s``.
     """
 
     async def scenario(simulation: Simulation) -> None:
@@ -34,7 +35,7 @@
         await simulation.wait_until_running(8)
         leader = await simulation.wait_for_leader()
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             if source == leader and target.startswith("/watch"):
                 return (30.0, False) if unread == "watch slow" else (0.0, True)
             return 0.0, False
@@ -42,8 +43,8 @@
         if unread == "refused":
             simulation.state_service.refused.add(leader)
         else:
-            simulation.net.delivery_rule = fate
-        # The watch that is still open tells one more change; what comes after it stays unread.
+            simulation.net.delivery_rule = delivery
+        # The open watch still returns one more change; the leader reads none after that.
         simulation.run_s_by_job["wk-000003"] = 1.0
         await simulation.submit(job("wk-000003", 1, team="guest"), nodes=other_controllers(leader))
         await asyncio.sleep(0.1)
@@ -73,8 +74,8 @@
     run(scenario, seed)
 
 
-def test_a_controller_that_is_not_leader_still_stops_cancelled_tasks() -> None:
-    """A final state is durable and never changes, so to halt for it needs no right to command."""
+def test_controller_in_lease_grace_stops_cancelled_tasks() -> None:
+    """A final status never changes, so stopping tasks for it needs no right to command."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 100.0
@@ -82,7 +83,7 @@
         await simulation.wait_until_running(4)
         leader = await simulation.wait_for_leader()
         unreachable = set(simulation.cloud.machines)
-        simulation.net.not_receiving |= unreachable  # so that the halts sent at once are lost
+        simulation.net.not_receiving |= unreachable  # so that the first stop commands are lost
         assert await cancel_at(simulation, "wk-000001", list(NODES))
         await asyncio.sleep(0.5)
         simulation.state_service.set_outage(True)
@@ -97,8 +98,8 @@
     run(scenario)
 
 
-def test_a_leader_that_has_not_read_a_cancellation_starts_nothing_of_the_job() -> None:
-    """From the confirmation on no task may start, however far behind the leader's watch is."""
+def test_leader_that_has_not_read_a_cancellation_starts_no_task_of_the_job() -> None:
+    """No task may start after the confirmation, however far behind the leader's watch is."""
 
     async def scenario(simulation: Simulation) -> None:
         leader = await simulation.wait_for_leader()
@@ -111,9 +112,9 @@
         await asyncio.sleep(0.2)
         await simulation.submit(
             job("wk-000003", 1), nodes=other_controllers(leader)
-        )  # ends the watch still open
+        )  # makes the open watch return
         assert await cancel_at(simulation, "wk-000001", other_controllers(leader))
-        await asyncio.sleep(8.0)  # its machines are up meanwhile
+        await asyncio.sleep(8.0)  # longer than its machines take to boot
         simulation.net.delivery_rule = None
         await simulation.wait_until_over(60.0)
         assert not [
@@ -124,7 +125,7 @@
 
 
 def make_unreachable(simulation: Simulation, fault: str, names: set[str]) -> list[Worker]:
-    """Cut machines off, or have them hang or receive nothing; returns their workers."""
+    """Make machines partitioned, hanging or unable to receive; return their workers."""
     workers = [simulation.cloud.machines[name].worker for name in names]
     if fault == "cut":
         simulation.net.partitions |= {frozenset((name, node)) for name in names for node in NODES}
@@ -145,7 +146,7 @@
 
 
 async def disturb_leader(simulation: Simulation, change: str) -> None:
-    """Pause the leader, cut it off from the state service, or restart it."""
+    """Pause the leader, have the state service refuse it, or restart it."""
     leader = await simulation.wait_for_leader()
     if change == "paused":
         await simulation.pause(leader, 8.0)
@@ -161,10 +162,10 @@
 
 @pytest.mark.parametrize("fault", ["cut", "hangs", "not receiving"])
 @pytest.mark.parametrize("change", ["crash", "quick", "refused", "paused"])
-def test_jobs_on_unreachable_machines_are_cancelled_while_teams_are_at_their_limit(
+def test_cancelled_tasks_on_unreachable_machines_use_quota_until_they_end(
     fault: str, change: str
 ) -> None:
-    """Cancelled tasks count in their team's limit until they are surely gone, for each leader."""
+    """Each leader counts cancelled tasks in their team's quota until they have certainly ended."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
@@ -172,7 +173,7 @@
             await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=60.0)
             )
-        task_ids = await simulation.wait_until_running(12)  # both limits of 12 cores
+        task_ids = await simulation.wait_until_running(12)  # both quotas of 12 cores are used
         first = {task_id.rpartition("/")[0] for task_id in task_ids}
         names = {simulation.worker_running(task_id).name for task_id in task_ids[:5]}
         workers = make_unreachable(simulation, fault, names)
@@ -195,8 +196,8 @@
 
 @pytest.mark.parametrize("change", ["crash", "quick", "resigns", "rolls", "refused"])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_jobs_are_cancelled_during_a_failover(change: str, seed: int) -> None:
-    """Before, during and after the failover, at whatever controller is there."""
+def test_cancellations_during_a_failover_stop_all_tasks(change: str, seed: int) -> None:
+    """Users cancel before, during and after the failover, through any running controller."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 50.0
@@ -229,45 +230,50 @@
         await cancelling
         await asyncio.sleep(12.0)
         running = simulation.checker.machines_by_task
-        left = {task_id.rpartition("/")[0] for task_id, machines in running.items() if machines}
-        assert not left & set(simulation.checker.cancelled_at)
+        running_jobs = {
+            task_id.rpartition("/")[0] for task_id, machines in running.items() if machines
+        }
+        assert not running_jobs & set(simulation.checker.cancelled_at)
         simulation.checker.faults_ended_at = now()
         await simulation.wait_until_over(150.0)
 
     run(scenario, seed)
 
 
-def test_a_quarter_of_many_small_jobs_is_cancelled() -> None:
-    """All are accepted, none is forgotten, and cancellations are confirmed without delay."""
+def test_cancellations_are_confirmed_within_2_s_while_many_small_jobs_run() -> None:
+    """Of 240 jobs, all are accepted, none is lost, and a quarter is cancelled."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.wait_for_leader()
         simulation.run_s = 2.0
-        slow: list[float] = []
+        latencies_s: list[float] = []
 
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
             await simulation.submit(job(job_id, 1, team="guest", cores=0.5, estimated_run_s=2.0))
             if number % 4 == 0:
                 await asyncio.sleep(simulation.random.uniform(0.0, 2.0))
-                asked = now()
+                requested_at = now()
                 await simulation.cancel(job_id)
-                slow.append(now() - asked)
+                latencies_s.append(now() - requested_at)
 
         users = []
         for n in range(240):
             users.append(asyncio.ensure_future(user(n)))
             await asyncio.sleep(0.25)
         await asyncio.gather(*users)
-        assert max(slow) < 2.0
+        assert max(latencies_s) < 2.0
         await simulation.wait_until_over(60.0)
 
     run(scenario)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_cancellation_query_and_resubmission_race_with_the_end_of_the_last_task(seed: int) -> None:
-    """Either final state may win, but only one, and done only if all tasks are."""
+def test_job_gets_one_final_status_when_a_cancellation_races_with_its_last_task(seed: int) -> None:
+    """The status is done or aborted for all users, and done only if all tasks completed.
+
+    Cancellations, queries and repeated submissions arrive around the end of the last task.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 3.0
@@ -297,7 +303,7 @@
 
 
 @pytest.mark.parametrize("after", [0.0, 0.3, 5.5, 6.2, 7.5])
-def test_a_cancellation_races_a_start(after: float) -> None:
+def test_job_cancelled_while_its_tasks_start_stays_cancelled(after: float) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
         await simulation.submit(job("wk-000001", 4))
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Changes of the leader: what a new leader waits for, and what an old one may still do."""
+"""Failovers: what a new leader waits for, and what a former leader may still do."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.virtual import play
 
 
-def test_a_renewed_lease_commands_nothing_before_the_state_is_read() -> None:
-    """After an outage the lease had its time back, and the leader led again with old knowledge."""
+def test_leader_with_a_renewed_lease_commands_nothing_before_it_reads_the_state() -> None:
+    """After an outage the leader's lease had its full time again; it then acted on stale state."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 100.0
@@ -24,20 +24,20 @@
         leader = await simulation.wait_for_leader()
         election = simulation.nodes[leader].election
         simulation.state_service.set_outage(True)
-        await asyncio.sleep(13.0)  # longer than a watch stays open
+        await asyncio.sleep(13.0)  # longer than the timeout of a watch
         assert election.role is Role.LEASE_GRACE
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
-            lost = source == leader and target.startswith(("/watch", "/keys"))
-            return (0.0, lost)
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+            is_lost = source == leader and target.startswith(("/watch", "/keys"))
+            return (0.0, is_lost)
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         simulation.state_service.set_outage(False)
         assert await cancel_at(simulation, "wk-000001", other_controllers(leader))
         for _ in range(20):
             await asyncio.sleep(0.1)
-            knows = simulation.nodes[leader].cluster_state.jobs_by_id["wk-000001"].final_status
-            assert knows or not (election.is_leader and election.fence())
+            known = simulation.nodes[leader].cluster_state.jobs_by_id["wk-000001"].final_status
+            assert known or not (election.is_leader and election.fence())
         simulation.net.delivery_rule = None
         await simulation.wait_until_over(60.0)
 
@@ -46,8 +46,11 @@
 
 @pytest.mark.parametrize("inside_an_outage", [False, True])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_ten_leaders_in_two_minutes(inside_an_outage: bool, seed: int) -> None:
-    """Jobs of two or three tasks that end far apart, so that records outlive several leaders."""
+def test_jobs_complete_through_ten_leader_changes(inside_an_outage: bool, seed: int) -> None:
+    """Ten crashes or resignations within two minutes.
+
+    Each job has two or three tasks that end far apart, so that its records outlive several leaders.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s, simulation.spread_s = 4.0, 45.0
@@ -76,8 +79,8 @@
     run(scenario, seed)
 
 
-def test_an_old_leader_that_resumes_is_fenced() -> None:
-    """Cut from everything for a while, it must find that it may not act any more."""
+def test_isolated_leader_is_a_follower_after_its_partition_ends() -> None:
+    """The leader is partitioned from all other processes until another one is elected."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 25.0
@@ -98,7 +101,7 @@
     run(scenario)
 
 
-def test_a_leader_refused_by_the_state_service_alone_is_replaced() -> None:
+def test_leader_refused_by_the_state_service_is_replaced() -> None:
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 10))
         await simulation.wait_until_running(2)
@@ -114,7 +117,7 @@
     run(scenario)
 
 
-def test_a_leader_that_no_worker_reaches_resigns() -> None:
+def test_leader_partitioned_from_all_workers_is_replaced() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 20.0
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
@@ -129,7 +132,7 @@
 
 
 @pytest.mark.parametrize("pause", [0.3, 3.0, 12.0])
-def test_all_controllers_restart(pause: float) -> None:
+def test_jobs_complete_after_all_controllers_restart(pause: float) -> None:
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 12))
         await simulation.submit(job("wk-000002", 4, team="blue"))
@@ -145,7 +148,7 @@
 
 
 @pytest.mark.parametrize("cloud_too", [False, True])
-def test_a_leader_that_reaches_only_its_workers_is_fenced(cloud_too: bool) -> None:
+def test_leader_that_reaches_only_workers_steps_down(cloud_too: bool) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
         await simulation.submit(job("wk-000001", 4, estimated_run_s=60.0))
@@ -155,7 +158,7 @@
         since = now()
         others = {"state", "cloud", *NODES} - {old}
         simulation.net.partitions |= {frozenset((old, other)) for other in others}
-        # Nobody else hears the workers, and perhaps the machines cannot be returned either.
+        # No other controller reaches the workers, and with cloud_too none can return machines.
         machines = set(simulation.cloud.machines)
         simulation.net.partitions |= {
             frozenset((m, n)) for m in machines for n in NODES if n != old
@@ -173,7 +176,7 @@
         starts = simulation.checker.start_count
         while now() < since + 23.0 + 9.0:
             if cloud_too and now() < since + 23.0:
-                # It renews their leases: nothing may start.
+                # The old leader still renews the workers' leases, so no task may start.
                 assert simulation.checker.start_count == starts
             assert simulation.nodes[old].election.role is not Role.LEADING or now() < since + 4.0
             await asyncio.sleep(0.5)
@@ -185,13 +188,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_quick_restarts_with_late_copies_of_requests_from_before(seed: int) -> None:
-    chance = random.Random(seed)
+def test_late_duplicates_of_requests_have_no_effect_after_quick_restarts(seed: int) -> None:
+    rng = random.Random(seed)
     nonces: dict[int, set[str]] = {}
 
     def copy(source: str, addr: str, method: str, target: str) -> float | None:
         wanted = method != "GET" and (addr.startswith(("state", "cloud")) or target == "/do")
-        return chance.uniform(0.02, 6.0) if wanted and chance.random() < 0.6 else None
+        return rng.uniform(0.02, 6.0) if wanted and rng.random() < 0.6 else None
 
     async def scenario(simulation: Simulation) -> None:
         simulation.net.duplicate_rule = copy
@@ -200,15 +203,15 @@
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=20.0)
             )
         for _ in range(6):
-            name = chance.choice(NODES)
+            name = rng.choice(NODES)
             simulation.crash(name)
-            await asyncio.sleep(chance.uniform(0.02, 0.4))
+            await asyncio.sleep(rng.uniform(0.02, 0.4))
             simulation.boot(name)
-            await asyncio.sleep(chance.choice([0.05, 0.2, 0.6, 4.0]))
+            await asyncio.sleep(rng.choice([0.05, 0.2, 0.6, 4.0]))
         leader = await simulation.wait_for_leader()
         simulation.crash(leader)
         await asyncio.sleep(0.1)
-        simulation.boot(leader)  # it is in the middle of its election when it goes again
+        simulation.boot(leader)  # the next crash comes in the middle of its election
         await asyncio.sleep(0.35)
         simulation.crash(leader)
         simulation.boot(leader)
@@ -216,8 +219,8 @@
         for key, value in simulation.state_service.puts:
             if key == "pt/lead":
                 nonces.setdefault(value["epoch"], set()).add(value["nonce"])
-        assert all(len(held) == 1 for held in nonces.values()), nonces
-        assert all(len(asked) == 1 for asked in simulation.cloud.requests.values())
+        assert all(len(epoch_nonces) == 1 for epoch_nonces in nonces.values()), nonces
+        assert all(len(bodies) == 1 for bodies in simulation.cloud.requests.values())
         rounds: dict[str, set[str]] = {}
         for key, value in simulation.state_service.puts:
             if key.startswith("pt/r/"):
@@ -228,7 +231,9 @@
     assert nonces
 
 
-def test_the_leader_is_down_for_90_s() -> None:
+def test_new_leader_is_elected_within_8_s_of_a_crash() -> None:
+    """The old leader is down for 90 s."""
+
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 10.0
         for n in range(1, 5):
@@ -248,15 +253,18 @@
     run(scenario)
 
 
-def test_a_new_leader_reads_workers_whose_controller_hangs() -> None:
-    """They wait 4 s for its answer and 1 s more; until they came, nothing was placed on them."""
+def test_new_leader_reads_workers_that_wait_for_a_paused_controller() -> None:
+    """Such workers find the new leader only after their timeout of 4 s and 1 s more.
+
+    Until they did, no task was placed on them. The new leader reads them itself instead.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 4.0
         await simulation.submit(job("wk-000001", 60, estimated_run_s=4.0))
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
-        still = asyncio.ensure_future(simulation.pause(old, 30.0))
+        pausing = asyncio.ensure_future(simulation.pause(old, 30.0))
         while simulation.leader in (None, old):
             await asyncio.sleep(0.1)
         elected = now()
@@ -265,32 +273,39 @@
         usable = sum(node.fleet.is_schedulable(m) for m in node.fleet.machines.values())
         assert usable >= 3, usable
         assert now() - elected < 2.0
-        await still
+        await pausing
         await simulation.wait_until_over(200.0)
 
     run(scenario)
 
 
-RESTARTED_S = 8.0  # from the election to the first start of what was on a dead machine
+RESTARTED_S = 8.0  # from the election until all tasks of a lost machine have restarted
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_work_of_a_machine_that_died_with_the_leader_starts_soon(seed: int) -> None:
+def test_tasks_of_a_machine_lost_with_the_leader_restart_within_8_s(seed: int) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
-        lost = simulation.worker_running(task_ids[0])
-        gone = [task_id for task_id in task_ids if simulation.worker_running(task_id) is lost]
-        simulation.net.partitions.update(frozenset((lost.name, node)) for node in simulation.nodes)
+        lost_worker = simulation.worker_running(task_ids[0])
+        lost_task_ids = [
+            task_id for task_id in task_ids if simulation.worker_running(task_id) is lost_worker
+        ]
+        simulation.net.partitions.update(
+            frozenset((lost_worker.name, node)) for node in simulation.nodes
+        )
         simulation.crash(old)
         while simulation.leader is None:
             await asyncio.sleep(0.05)
         elected = now()
         while not all(
-            any(name != lost.name for name in simulation.checker.machines_by_task.get(task_id, ()))
-            for task_id in gone
+            any(
+                name != lost_worker.name
+                for name in simulation.checker.machines_by_task.get(task_id, ())
+            )
+            for task_id in lost_task_ids
         ):
             await asyncio.sleep(0.05)
             assert now() - elected < RESTARTED_S
@@ -301,8 +316,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_machines_that_report_to_the_new_leader_keep_their_work(seed: int) -> None:
-    """Direct commands do not reach them, so none can be read; their reports come."""
+def test_new_leader_keeps_tasks_that_heartbeats_list_when_reads_fail(seed: int) -> None:
+    """Neither reads nor direct commands reach the workers, but their heartbeats arrive."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 30.0
@@ -310,10 +325,10 @@
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             return None if target in ("/show", "/do") else (0.0, False)
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         simulation.crash(old)
         await asyncio.sleep(12.0)
         simulation.net.delivery_rule = None
@@ -324,7 +339,7 @@
     assert simulation.checker.start_count == 6
 
 
-def test_silence_proves_less_while_heartbeats_are_shed() -> None:
+def test_heartbeat_timeout_is_a_worker_lease_while_requests_are_shed() -> None:
     async def main() -> None:
         simulation = Simulation(1)
         node = simulation.nodes[await simulation.wait_for_leader()]
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -1,4 +1,4 @@
-"""Heartbeats and commands that arrive late, or only in one direction."""
+"""Heartbeats and commands that arrive late, and answers that are lost."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 
 @pytest.mark.parametrize("after_s", [0.0, 0.3, 1.0, 4.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_old_heartbeats_reach_every_controller_after_an_election(after_s: float, seed: int) -> None:
-    """Of earlier sessions and attempts too: what they lack or show proves nothing any more."""
+def test_old_heartbeats_have_no_effect_after_an_election(after_s: float, seed: int) -> None:
+    """Every controller receives up to 30 of them, also of earlier incarnations and attempts.
+
+    Neither the tasks that they list nor those that they lack are evidence any more.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.spread_s = 8.0
@@ -31,10 +34,10 @@
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
             )
         task_ids = await simulation.wait_until_running(6)
-        lost = simulation.worker_running(task_ids[0])
+        partitioned_worker = simulation.worker_running(task_ids[0])
         simulation.net.partitions |= {
-            frozenset((lost.name, node)) for node in NODES
-        }  # its session ends
+            frozenset((partitioned_worker.name, node)) for node in NODES
+        }  # until its lease expires
         await asyncio.sleep(11.0)
         simulation.net.partitions.clear()
         for _ in range(3):
@@ -57,8 +60,8 @@
 
 
 @pytest.mark.parametrize("late", [2.0, 9.0, 14.0, 35.0])
-def test_late_copies_of_heartbeats(late: float) -> None:
-    """To the same leader, to new ones, to one just restarted, from gone sessions and machines."""
+def test_late_copies_of_heartbeats_make_no_lost_machine_schedulable(late: float) -> None:
+    """They reach the same, a new or a restarted leader, and may be from former incarnations."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 6.0
@@ -69,10 +72,10 @@
             team = "red" if n % 2 else "blue"
             await simulation.submit(job(f"wk-{n:06d}", 6, team=team, estimated_run_s=20.0))
         task_ids = await simulation.wait_until_running(4)
-        lost = simulation.worker_running(task_ids[0])
+        partitioned_worker = simulation.worker_running(task_ids[0])
         simulation.net.partitions |= {
-            frozenset((lost.name, n)) for n in NODES
-        }  # a session ends, or it goes
+            frozenset((partitioned_worker.name, n)) for n in NODES
+        }  # its lease expires, or it is returned
         await asyncio.sleep(12.0)
         first = await simulation.wait_for_leader()
         simulation.crash(first)
@@ -81,30 +84,30 @@
         await asyncio.sleep(5.0)
         simulation.crash(await simulation.wait_for_leader())
         await simulation.wait_until_over(200.0)
-        # None of the machines that are gone is taken for alive because of a copy.
+        # No copy makes a terminated machine schedulable.
         await asyncio.sleep(late)
         node = simulation.nodes[await simulation.wait_for_leader()]
-        served = {m.name for m in node.fleet.machines.values() if node.fleet.is_schedulable(m)}
-        assert served <= set(simulation.cloud.machines)
+        schedulable = {m.name for m in node.fleet.machines.values() if node.fleet.is_schedulable(m)}
+        assert schedulable <= set(simulation.cloud.machines)
 
     run(scenario)
 
 
 @pytest.mark.parametrize("delay", [6.0, 14.0, 30.0])
-def test_a_late_direct_command(delay: float) -> None:
-    """Held by the network and delivered after the leader, and perhaps the attempt, is over."""
+def test_direct_commands_delivered_after_a_failover_violate_no_invariant(delay: float) -> None:
+    """All direct commands arrive after the leader's crash, and some after their attempt's end."""
 
     async def scenario(simulation: Simulation) -> None:
-        held = 0
+        delayed_count = 0
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
-            nonlocal held
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+            nonlocal delayed_count
             if target == "/do":
-                held += 1
+                delayed_count += 1
                 return delay, False
             return 0.0, False
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 6))
         await simulation.submit(job("wk-000002", 3, team="blue"))
         await simulation.wait_until_running(2)
@@ -112,25 +115,25 @@
         await asyncio.sleep(3.0)
         simulation.crash(await simulation.wait_for_leader())
         await simulation.wait_until_over(120.0)
-        assert held
+        assert delayed_count
 
     run(scenario)
 
 
-def test_answers_to_heartbeats_are_lost() -> None:
-    """Every third answer vanishes: launches and forgets are repeated, nothing runs twice."""
+def test_commands_are_repeated_when_every_third_answer_is_lost() -> None:
+    """Start and forget commands are repeated, and no task runs twice."""
 
     async def scenario(simulation: Simulation) -> None:
         count = 0
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             nonlocal count
             if target in ("/checkin", "/do"):
                 count += 1
                 return 0.0, count % 3 == 0
             return 0.0, False
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 12))
         await simulation.wait_until_over(200.0)
 
--- a/tests/test_lost_transactions.py
+++ b/tests/test_lost_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions whose answer is lost, which are carried out at once, late, or twice."""
+"""Transactions whose answer is lost and that are applied at once, late or twice."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def delay_or_lose_transactions(simulation: Simulation, fault: str) -> None:
-    """Set the delivery rule of a fault; none for faults of other kinds."""
+    """Set the delivery rule if the fault concerns transactions."""
     if fault in ("lost", "late"):
         simulation.net.delivery_rule = lost_transaction_answers(simulation, 0.3, fault == "late")
     elif fault == "slow":
@@ -24,7 +24,7 @@
 
 
 async def restart_controllers(simulation: Simulation, fault: str) -> None:
-    """Restart the leader, all controllers in turn, or none, as the fault says."""
+    """Restart the leader, all controllers in turn or none, depending on the fault."""
     if fault == "leader ends":
         leader = await simulation.wait_for_leader()
         simulation.crash(leader)
@@ -39,7 +39,7 @@
 
 
 async def submit_and_query(simulation: Simulation, number: int) -> None:
-    """Submit a job, cancel one in three, and query all controllers until it is over."""
+    """Submit a job and query all controllers until it is final; every third one is cancelled."""
     job_id = f"wk-{number:06d}"
     await asyncio.sleep(number * 1.5)
     spec = job(job_id, 1 + number % 3, team=("red", "blue", "guest")[number % 3])
@@ -62,8 +62,10 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_controller_answers_older_than_another_has(fault: str, seed: int) -> None:
-    """Right after a job was accepted, ended or cancelled no node may answer anything older."""
+def test_no_controller_returns_an_older_status_than_another_has_returned(
+    fault: str, seed: int
+) -> None:
+    """Once a job is known as accepted, done or cancelled, no controller answers an older status."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.wait_for_leader()
@@ -82,8 +84,13 @@
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_transactions_without_an_answer_while_leaders_end(late: bool, seed: int) -> None:
-    """Submissions, cancellations, claims, elections, final states; late ones after newer ones."""
+def test_jobs_complete_when_transactions_get_no_answer_and_leaders_crash(
+    late: bool, seed: int
+) -> None:
+    """35 % of all transactions get no answer, and late ones are applied after newer ones.
+
+    They write submissions, cancellations, claims, elections and final statuses.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.spread_s = 6.0
@@ -110,18 +117,21 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 3.0])
-def test_the_claim_of_a_start_is_unanswered_and_the_leader_ends(late_s: float) -> None:
-    """Nothing is sent before the claim is known to count, so nobody starts it beside the next."""
+def test_no_task_runs_twice_after_an_unanswered_claim_and_a_leader_crash(late_s: float) -> None:
+    """A leader sends a start only once it knows that the claim is committed.
+
+    Otherwise the next leader may start the same task a second time.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 15.0
         first = await simulation.wait_for_leader()
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
-            rounds = target == "/multi" and "pt/r/" in str(body["apply"])
-            return (late_s, True) if rounds and source == first else (0.0, False)
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+            is_round_claim = target == "/multi" and "pt/r/" in str(body["apply"])
+            return (late_s, True) if is_round_claim and source == first else (0.0, False)
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 6, estimated_run_s=15.0))
         await asyncio.sleep(9.0)
         simulation.crash(first)
@@ -133,20 +143,23 @@
     run(scenario)
 
 
-def test_a_late_transaction_of_an_old_leader_is_refused() -> None:
-    """The leader's claims are held; it loses the lead; they are applied or refused much later."""
+def test_late_transactions_of_a_former_leader_violate_no_invariant() -> None:
+    """The leader's requests reach the state service 9 s late, and it loses the leadership.
+
+    Its claims are applied or refused when they arrive.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 8))
         await simulation.wait_until_running(2)
         old = await simulation.wait_for_leader()
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             if source == old and addr == "state:1" and target != "/watch":
                 return 9.0, False
             return 0.0, False
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         await asyncio.sleep(10.0)
         simulation.net.delivery_rule = None
         await simulation.wait_until_over(120.0)
@@ -155,8 +168,8 @@
 
 
 @pytest.mark.parametrize("role", [Role.LEADING, Role.LEASE_GRACE])
-def test_a_late_copy_of_a_settled_round_starts_nothing(role: Role) -> None:
-    """Its marker was struck out with it, so nothing in the state service refuses the copy."""
+def test_late_copy_of_a_settled_round_starts_no_task(role: Role) -> None:
+    """The marker was deleted with the round, so the state service does not refuse the copy."""
 
     async def main() -> None:
         simulation = Simulation()
@@ -173,8 +186,8 @@
     play(main())
 
 
-def test_nothing_is_sent_without_its_record() -> None:
-    """Every task and every cloud call that reached the world stands in a record written before."""
+def test_every_start_and_scale_out_has_a_record() -> None:
+    """Records are written before commands and cloud calls; both sets are compared afterwards."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 6))
@@ -190,14 +203,14 @@
         for task in tasks
     }
     assert recorded == set(simulation.checker.started_at)
-    charters = {
+    scale_out_keys = {
         key[len("pt/c/") :] for key, _ in simulation.state_service.puts if key.startswith("pt/c/")
     }
-    assert set(simulation.cloud.granted) <= charters
+    assert set(simulation.cloud.granted) <= scale_out_keys
 
 
-def test_final_statuses_outlive_their_records() -> None:
-    """A repeated submission and a late poll get the final state, also from new processes."""
+def test_final_statuses_survive_a_restart_of_all_controllers() -> None:
+    """Repeated submissions and late polls get the final status after other records are deleted."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 2))
@@ -217,7 +230,10 @@
 
 
 def test_finished_tasks_recorded_by_another_leader_count_once() -> None:
-    """A leader kept what it had not written, lost the lead, came back, and counted it twice."""
+    """A leader that lost the leadership and was elected again counted finished tasks twice.
+
+    It had kept them as not yet written, while another leader had recorded them.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 15.0
