--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -1,4 +1,4 @@
-"""What happens between a claim and its answer: the watch, reports and the cloud do not wait."""
+"""Events between a claim and its answer: watches, heartbeats and the cloud do not wait."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from tests.scenario import run
 from tests.simulation import Simulation, job
 
-ANSWER_LATE_S = 0.05  # the watch shows a record well before its claim is answered
+ANSWER_DELAY_S = 0.05  # the watch returns a record well before this
 
 
-def test_rounds_that_the_watch_shows_before_their_answer_are_sent() -> None:
-    """A leader must not take its own rounds for late copies of settled ones."""
+def test_rounds_read_by_the_watch_before_their_answer_are_dispatched() -> None:
+    """A leader must not treat its own unanswered rounds as late copies of settled ones."""
     recorded = 0
 
     async def scenario(simulation: Simulation) -> None:
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             nonlocal recorded
             for op in body["apply"] if target == "/multi" else ():
                 if "put" in op and op["put"].startswith("pt/r/"):
                     recorded += sum(len(tasks) for _, _, jobs in op["v"] for _, tasks in jobs)
             return 0.0, False
 
-        simulation.net.delivery_rule = fate
-        simulation.net.answer_delay = lambda target: ANSWER_LATE_S if target == "/multi" else 0.0
+        simulation.net.delivery_rule = delivery
+        simulation.net.answer_delay = lambda target: ANSWER_DELAY_S if target == "/multi" else 0.0
         for n in range(4):
             await simulation.submit(job(f"wk-{n:06d}", 3, team="red" if n % 2 else "blue"))
         await simulation.wait_until_over(120.0)
--- a/tests/test_cloud_faults.py
+++ b/tests/test_cloud_faults.py
@@ -1,4 +1,4 @@
-"""The cloud answers late, refuses, or lets machines boot late or never."""
+"""Faults of the cloud: late or lost answers, refusals, and machines that boot late or never."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_machines_boot_at_once_while_writes_are_slow_and_the_leader_ends(seed: int) -> None:
-    """A start is on record before it is sent, so that the next leader knows of it."""
+def test_next_leader_knows_all_starts_when_machines_boot_fast_and_writes_are_slow(
+    seed: int,
+) -> None:
+    """A start is recorded before it is sent, so that the next leader knows of it."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 15.0
@@ -46,20 +48,22 @@
 
 
 @pytest.mark.parametrize("startup_s", [5.0, 0.3])
-def test_the_answer_to_a_scale_out_is_lost(startup_s: float) -> None:
-    """Machines up within a second report before anybody has told us of them."""
+def test_scale_out_is_repeated_until_answered_and_rents_at_most_3_machines(
+    startup_s: float,
+) -> None:
+    """Machines that boot in 0.3 s send heartbeats before the leader knows that it rented them."""
 
     async def scenario(simulation: Simulation) -> None:
         lost = 0
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             nonlocal lost
             if addr == "cloud:1" and method == "POST" and target == "/hosts" and lost < 2:
                 lost += 1
                 return 0.0, True
             return 0.0, False
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 4))
         await simulation.wait_until_over(60.0)
         assert lost == 2
@@ -68,19 +72,19 @@
     simulation = run(scenario, deployment=replace(SMALL, machine_types=machine_types))
     assert (
         simulation.cloud.rented <= 3
-    )  # 4 tasks of 2 cores on machines of 4: repeated, not rented anew
+    )  # 4 tasks of 2 cores need 2 machines of 4 cores; repetitions rent none
 
 
-def test_a_leader_is_replaced_before_it_records_the_machines_of_a_scale_out() -> None:
+def test_unanswered_scale_out_of_a_crashed_leader_rents_at_most_4_machines() -> None:
     async def scenario(simulation: Simulation) -> None:
         first = await simulation.wait_for_leader()
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             if addr == "cloud:1" and target == "/hosts" and method == "POST" and source == first:
                 return 0.0, True
             return 0.0, False
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 4))
         while not simulation.cloud.rented:
             await asyncio.sleep(0.05)
@@ -96,14 +100,14 @@
     async def scenario(simulation: Simulation) -> None:
         first = True
 
-        def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+        def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             nonlocal first
             if addr == "cloud:1" and method == "POST" and target == "/hosts" and first:
                 first = False
                 return 45.0, False
             return 0.0, False
 
-        simulation.net.delivery_rule = fate
+        simulation.net.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 4))
         await simulation.wait_until_over(60.0)
         await asyncio.sleep(60.0)
@@ -112,13 +116,13 @@
     assert not simulation.cloud.machines
 
 
-def test_a_new_leader_does_not_repeat_refused_scale_outs() -> None:
-    """Records of refused requests that are not deleted yet must not be sent again."""
+def test_new_leader_does_not_repeat_refused_scale_outs() -> None:
+    """Refused requests whose records are not deleted yet must not be sent again."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.cloud.capacity = {True: 0, False: 0}
         node = simulation.nodes[await simulation.wait_for_leader()]
-        node.scheduler.claim_builder.spare_writes = lambda now: 0  # none to strike them out with
+        node.scheduler.claim_builder.spare_writes = lambda now: 0  # so no record is deleted
         await simulation.submit(job("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
         old = set(simulation.cloud.requests)
@@ -143,20 +147,23 @@
         simulation.boot_delay_s = 0.0
         await asyncio.sleep(17.0)
         others = set(simulation.cloud.machines) - first
-        assert others  # late ones are not counted on any more
-        _, got = await simulation.ask_admin("n0", "status")
+        assert others  # machines that boot late no longer count as capacity
+        _, cluster_view = await simulation.ask_admin("n0", "status")
         if first & set(simulation.cloud.machines):
-            assert any("late in booting" in t["trouble"] for t in got["troubles"])
+            assert any("late in booting" in t["trouble"] for t in cluster_view["troubles"])
         await asyncio.sleep(20.0)
         if never:
-            assert not first & set(simulation.cloud.machines)  # they went back
+            assert not first & set(simulation.cloud.machines)  # they were returned
         await simulation.wait_until_over(60.0)
 
     run(scenario)
 
 
-def test_first_submissions_are_not_refused_for_lack_of_the_catalogue() -> None:
-    """A new leader read it at its next turn, up to 1.5 s later; users come back only after 1 s."""
+def test_submission_soon_after_an_election_is_accepted() -> None:
+    """Submissions were refused for up to 1.5 s after an election, until the catalogue was read.
+
+    Users repeat a refused submission only after 1 s.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.wait_for_leader()
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -1,4 +1,4 @@
-"""Several faults at once, drawn by seed, and the run without any."""
+"""Several concurrent faults, drawn from a seed, and a run without faults."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True)
 class FaultTarget:
-    """What one drawn fault strikes, and for how long."""
+    """What one drawn fault affects, and for how long."""
 
     simulation: Simulation
-    chance: random.Random
+    rng: random.Random
     node: str
     for_s: float
 
 
 async def crash(target: FaultTarget) -> None:
-    """A controller ends and is back later."""
+    """A controller crashes and restarts later."""
     target.simulation.crash(target.node)
     await asyncio.sleep(target.for_s)
     target.simulation.boot(target.node)
@@ -37,7 +37,7 @@
 
 
 async def refuse(target: FaultTarget) -> None:
-    """The state service refuses one controller."""
+    """The state service refuses all requests of one controller."""
     target.simulation.state_service.refused.add(target.node)
     await asyncio.sleep(target.for_s)
     target.simulation.state_service.refused.discard(target.node)
@@ -51,12 +51,12 @@
 
 
 async def cut_from_workers(target: FaultTarget) -> None:
-    """One controller reaches no worker."""
+    """One controller is partitioned from all workers."""
     await _cut(target, set(target.simulation.cloud.machines))
 
 
 async def cut_from_all_but_workers(target: FaultTarget) -> None:
-    """One controller reaches nothing but workers."""
+    """One controller is partitioned from everything but workers."""
     await _cut(target, {"state", "cloud", *NODES} - {target.node})
 
 
@@ -68,15 +68,15 @@
 
 
 async def late_copies(target: FaultTarget) -> None:
-    """A fifth of the requests arrives again later.
+    """A fifth of all POST requests but direct commands arrive a second time, 0.1 to 30 s later.
 
-    Not answered direct commands: nothing could tell one that starts a task anew after its forget
-    command from the first (docs/questions.md, 10).
+    A worker cannot tell a late copy of a start command, after the forget command of the attempt,
+    from a new start (docs/questions.md, 10).
     """
-    chance = target.chance
+    rng = target.rng
     target.simulation.net.duplicate_rule = lambda source, addr, method, path: (
-        chance.uniform(0.1, 30.0)
-        if method == "POST" and path != "/do" and chance.random() < 0.2
+        rng.uniform(0.1, 30.0)
+        if method == "POST" and path != "/do" and rng.random() < 0.2
         else None
     )
     await asyncio.sleep(target.for_s)
@@ -91,21 +91,21 @@
 
 
 async def receive_nothing(target: FaultTarget, worker: Worker) -> None:
-    """A machine's heartbeats arrive, nothing reaches it."""
+    """A machine's heartbeats arrive, but nothing reaches it."""
     target.simulation.net.not_receiving.add(worker.name)
     await asyncio.sleep(target.for_s)
     target.simulation.net.not_receiving.discard(worker.name)
 
 
 async def send_nothing(target: FaultTarget, worker: Worker) -> None:
-    """A machine reaches nobody, commands reach it."""
+    """Commands reach a machine, but its heartbeats reach no controller."""
     target.simulation.net.not_sending.add(worker.name)
     await asyncio.sleep(target.for_s)
     target.simulation.net.not_sending.discard(worker.name)
 
 
 async def hang(target: FaultTarget, worker: Worker) -> None:
-    """A machine does nothing for a while."""
+    """A machine hangs for a while."""
     worker.frozen = True
     await asyncio.sleep(target.for_s)
     worker.frozen = False
@@ -117,7 +117,7 @@
 
 
 async def lose(_target: FaultTarget, worker: Worker) -> None:
-    """A machine ends."""
+    """A machine terminates."""
     worker.kill()
 
 
@@ -141,7 +141,7 @@
     "faulty": fail_all_tasks,
     "sends nothing": send_nothing,
 }
-# The order decides what a seed draws.
+# The order decides which faults a seed draws.
 FAULT_KINDS = [
     "crash",
     "pause",
@@ -159,49 +159,47 @@
 ]
 
 
-async def inject_fault(simulation: Simulation, chance: random.Random) -> None:
-    """One fault of any kind, for a while."""
-    node = chance.choice(list(simulation.deployment.nodes))
-    if chance.random() < 0.5 and simulation.leader is not None:
+async def inject_fault(simulation: Simulation, rng: random.Random) -> None:
+    """Inject one fault of a random kind, for a random duration."""
+    node = rng.choice(list(simulation.deployment.nodes))
+    if rng.random() < 0.5 and simulation.leader is not None:
         node = simulation.leader
-    for_s = chance.choice([0.1, 1.5, 4.0, 12.0, 25.0])
+    for_s = rng.choice([0.1, 1.5, 4.0, 12.0, 25.0])
     machines = sorted(simulation.cloud.machines)
-    kind = chance.choice(FAULT_KINDS)
+    kind = rng.choice(FAULT_KINDS)
     down = node not in simulation.nodes
     if (kind == "crash" and down) or (kind == "pause" and (down or node in simulation.loop.paused)):
-        kind = "lost"  # the controller is struck already: a machine ends instead
-    target = FaultTarget(simulation, chance, node, for_s)
+        kind = "lost"  # the controller has such a fault already: a machine terminates instead
+    target = FaultTarget(simulation, rng, node, for_s)
     if kind in CLUSTER_FAULTS:
         await CLUSTER_FAULTS[kind](target)
     elif machines:
-        worker = simulation.cloud.machines[chance.choice(machines)].worker
+        worker = simulation.cloud.machines[rng.choice(machines)].worker
         await MACHINE_FAULTS[kind](target, worker)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_several_faults_at_once(seed: int) -> None:
-    """The rules, nobody forgotten, all served once the faults are over."""
+def test_concurrent_faults_violate_no_invariant(seed: int) -> None:
+    """No invariant is violated, and every job reaches a final status once the faults are over."""
 
     async def scenario(simulation: Simulation) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         simulation.spread_s = 8.0
         simulation.failing_jobs.add("wk-000003")
         for n in range(10):
             team = ("red", "blue", "guest")[n % 3]
-            priority = "low" if team == "guest" else chance.choice(["standard", "high"])
+            priority = "low" if team == "guest" else rng.choice(["standard", "high"])
             more = {"checkpoint_interval_s": 2.0, "grace_period_s": 1.0} if team == "guest" else {}
-            spec = job(
-                f"wk-{n:06d}", chance.choice([1, 4, 20]), team=team, priority=priority, **more
-            )
-            await simulation.submit({**spec, "cores": chance.choice([1.0, 2.0, 4.0])})
+            spec = job(f"wk-{n:06d}", rng.choice([1, 4, 20]), team=team, priority=priority, **more)
+            await simulation.submit({**spec, "cores": rng.choice([1.0, 2.0, 4.0])})
         await simulation.wait_until_running(2)
-        ends = []
+        faults = []
         for _ in range(8):
-            ends.append(asyncio.ensure_future(inject_fault(simulation, chance)))
-            await asyncio.sleep(chance.uniform(0.0, 8.0))
+            faults.append(asyncio.ensure_future(inject_fault(simulation, rng)))
+            await asyncio.sleep(rng.uniform(0.0, 8.0))
             await simulation.poll()
         await simulation.cancel("wk-000004")
-        await asyncio.gather(*ends)
+        await asyncio.gather(*faults)
         assert await simulation.cancel("wk-000003") == "aborted"
         await simulation.wait_until_over(240.0)
 
@@ -209,7 +207,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_no_fault(seed: int) -> None:
+def test_without_faults_each_task_runs_once_and_all_machines_are_returned(seed: int) -> None:
     async def scenario(simulation: Simulation) -> None:
         for n in range(6):
             team = "red" if n % 2 else "blue"
@@ -217,13 +215,15 @@
         await simulation.wait_until_over(120.0)
 
     simulation = run(scenario, seed)
-    assert simulation.checker.start_count == sum(3 + n for n in range(6))  # nothing ran in vain
-    assert not simulation.cloud.machines  # everything went back
-    left = [key for key in simulation.state_service.keys if key.startswith(("pt/c/", "pt/x/"))]
-    assert not left  # every call to the cloud is settled and struck out
+    assert simulation.checker.start_count == sum(3 + n for n in range(6))  # each task started once
+    assert not simulation.cloud.machines  # all were returned
+    remaining_keys = [
+        key for key in simulation.state_service.keys if key.startswith(("pt/c/", "pt/x/"))
+    ]
+    assert not remaining_keys  # all cloud operations are settled and their records deleted
 
 
-def test_a_state_service_outage_longer_than_a_worker_lease_stops_no_work() -> None:
+def test_state_service_outage_longer_than_a_worker_lease_stops_no_task() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 30.0
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
--- a/tests/test_faulty_jobs_and_machines.py
+++ b/tests/test_faulty_jobs_and_machines.py
@@ -1,4 +1,4 @@
-"""Jobs that fail everywhere, told from machines on which every job fails."""
+"""Jobs that fail on every machine, and machines on which every job fails."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.simulation import Simulation, job
 
 
-def starts_recorded_of(simulation: Simulation, job_id: str) -> int:
-    """How many starts of its tasks are on record."""
+def recorded_start_count(simulation: Simulation, job_id: str) -> int:
+    """How many starts of the job's tasks were recorded."""
     return sum(
         len(tasks)
         for key, value in simulation.state_service.puts
@@ -22,8 +22,11 @@
     )
 
 
-def test_failing_jobs_cost_others_neither_machines_nor_time() -> None:
-    """Two of them made every machine that ran them look faulty; a new leader judges anew."""
+def test_failing_jobs_neither_delay_others_nor_make_machines_look_faulty() -> None:
+    """Two failing jobs made every machine that ran them look faulty.
+
+    A new leader begins with the recorded failures.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.failing_jobs |= {"wk-000001", "wk-000002"}
@@ -32,27 +35,28 @@
                 job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
             )
         await asyncio.sleep(30.0)
-        begun = starts_recorded_of(simulation, "wk-000001")
+        starts_before = recorded_start_count(simulation, "wk-000001")
         simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(10.0)
         node = simulation.nodes[await simulation.wait_for_leader()]
-        assert starts_recorded_of(simulation, "wk-000001") <= begun + 2  # the new leader knows
-        tries = [
+        # The new leader knows from the stored record that the job fails.
+        assert recorded_start_count(simulation, "wk-000001") <= starts_before + 2
+        started_tasks = [
             task_id for task_id in simulation.checker.started_at if task_id.startswith("wk-000001/")
         ]
-        assert len(tries) < 12  # a full start, then one at a time
-        said = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
-        assert "fails everywhere" in said, said
+        assert len(started_tasks) < 12  # several tasks at first, then one at a time
+        explanation = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
+        assert "fails everywhere" in explanation, explanation
         await asyncio.sleep(40.0)
-        good = [f"wk-{n:06d}" for n in range(3, 7)]
+        healthy_jobs = [f"wk-{n:06d}" for n in range(3, 7)]
         await simulation.poll()
-        assert {simulation.checker.statuses[j] for j in good} == {"done"}
-        assert simulation.cloud.rented <= 14  # none was given back as faulty
+        assert {simulation.checker.statuses[j] for j in healthy_jobs} == {"done"}
+        assert simulation.cloud.rented <= 14  # none was returned as faulty
         starts = simulation.checker.start_count
         await asyncio.sleep(60.0)
-        assert simulation.checker.start_count - starts <= 6  # tried at a growing distance
-        for broken in sorted(simulation.failing_jobs):
-            assert await simulation.cancel(broken) == "aborted"
+        assert simulation.checker.start_count - starts <= 6  # retried with growing backoff
+        for failing_job in sorted(simulation.failing_jobs):
+            assert await simulation.cancel(failing_job) == "aborted"
         await simulation.wait_until_over(60.0)
         await asyncio.sleep(5.0)
         assert not [key for key in simulation.state_service.keys if key.startswith("pt/s/")]
@@ -60,7 +64,7 @@
     run(scenario)
 
 
-def test_faulty_machines_are_told_from_failing_jobs() -> None:
+def test_faulty_machine_is_returned_while_a_job_fails_on_all_machines() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.failing_jobs |= {"wk-000001"}
         for n in range(1, 5):
@@ -68,10 +72,10 @@
                 job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
             )
         await simulation.wait_until_running(4)
-        faulty: Worker = next(m.worker for m in simulation.cloud.machines.values())
-        faulty.faulty = True
+        faulty_worker: Worker = next(m.worker for m in simulation.cloud.machines.values())
+        faulty_worker.faulty = True
         await asyncio.sleep(25.0)
-        assert faulty.dead  # found out and given back
+        assert faulty_worker.dead  # recognised as faulty and returned
         await asyncio.sleep(30.0)
         await simulation.poll()
         assert [simulation.checker.statuses[f"wk-{n:06d}"] for n in range(2, 5)] == ["done"] * 3
@@ -81,7 +85,7 @@
     run(scenario)
 
 
-def test_a_job_with_some_failing_tasks_is_served() -> None:
+def test_tasks_complete_although_others_of_their_job_fail() -> None:
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 30, estimated_run_s=5.0))
         await simulation.submit(job("wk-000002", 30, team="blue", estimated_run_s=5.0))
@@ -102,14 +106,14 @@
     run(scenario)
 
 
-def test_a_faulty_machine_is_returned_and_its_job_completes_elsewhere() -> None:
+def test_faulty_machine_is_returned_and_its_job_completes_elsewhere() -> None:
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 4))
         task_ids = await simulation.wait_until_running(2)
-        sick = simulation.worker_running(task_ids[0])
-        sick.faulty = True
+        faulty_worker = simulation.worker_running(task_ids[0])
+        faulty_worker.faulty = True
         await simulation.submit(job("wk-000002", 6, team="blue"))
         await simulation.wait_until_over(150.0)
-        assert sick.dead
+        assert faulty_worker.dead
 
     run(scenario)
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -1,4 +1,4 @@
-"""Machines that are cut off in one direction or both, and machines that hang."""
+"""Partitions of machines, asymmetric or in both directions, and machines that hang."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 @pytest.mark.parametrize("change", ["crash", "alone"])
 @pytest.mark.parametrize("after_s", [0.5, 2.0, 4.0])
-def test_machines_that_reach_no_controller_while_commands_reach_them(
+def test_tasks_of_a_new_incarnation_are_live_until_its_own_lease_expires(
     change: str, after_s: float
 ) -> None:
-    """An incarnation whose lease nobody renews has a lease from its own beginning.
+    """Commands reach the machines, but their heartbeats reach no controller.
 
-    Its tasks must not count as gone by the lease of the incarnation before.
+    The lease of a new incarnation begins with it, also if it is never renewed. Its tasks must not
+    count as lost when the lease of the previous incarnation expires.
     """
 
     async def scenario(simulation: Simulation) -> None:
@@ -61,7 +62,7 @@
     run(scenario)
 
 
-def starts_recorded(simulation: Simulation, machine: str) -> int:
+def recorded_start_count(simulation: Simulation, machine: str) -> int:
     return sum(
         len(tasks)
         for key, value in simulation.state_service.puts
@@ -72,8 +73,8 @@
     )
 
 
-def test_a_machine_that_receives_nothing_gets_no_work_and_is_returned() -> None:
-    """It looked alive and idle again after each end of its lease, and drew task after task."""
+def test_machine_that_receives_nothing_gets_no_work_and_is_returned() -> None:
+    """Each time its lease expired, the machine looked idle, and it was given task after task."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 8.0
@@ -82,18 +83,18 @@
         unreachable = next(iter(simulation.cloud.machines))
         worker: Worker = simulation.cloud.machines[unreachable].worker
         simulation.net.not_receiving.add(unreachable)
-        await asyncio.sleep(13.0)  # its lease has ended, and it has shown that
-        drawn = starts_recorded(simulation, unreachable)
+        await asyncio.sleep(13.0)  # its lease has expired, and a heartbeat has shown it
+        starts_before = recorded_start_count(simulation, unreachable)
         while not worker.dead:
             await asyncio.sleep(0.5)
-            assert now() < 160.0, "it never went back"
-        assert starts_recorded(simulation, unreachable) <= drawn + 2
+            assert now() < 160.0, "the machine was not returned"
+        assert recorded_start_count(simulation, unreachable) <= starts_before + 2
         await simulation.wait_until_over(150.0)
 
     run(scenario)
 
 
-def test_a_machine_that_receives_again_is_used_again() -> None:
+def test_machine_is_used_again_after_a_short_asymmetric_partition() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 4.0
         await simulation.submit(job("wk-000001", 60, estimated_run_s=30.0))
@@ -103,17 +104,17 @@
         simulation.net.not_receiving.add(unreachable)
         await asyncio.sleep(5.0)
         simulation.net.not_receiving.clear()
-        before = starts_recorded(simulation, unreachable)
+        before = recorded_start_count(simulation, unreachable)
         await asyncio.sleep(25.0)
         assert not worker.dead
-        assert starts_recorded(simulation, unreachable) > before + 4
+        assert recorded_start_count(simulation, unreachable) > before + 4
         await simulation.wait_until_over(200.0)
 
     run(scenario)
 
 
-def test_a_new_leader_returns_a_machine_that_receives_nothing() -> None:
-    """Its highest token stays behind: it must not count as heard by the new leader."""
+def test_new_leader_returns_a_machine_that_receives_nothing() -> None:
+    """Its heartbeats keep showing an old token, so it has not acknowledged the new epoch."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 30.0
@@ -130,22 +131,22 @@
     run(scenario)
 
 
-def test_an_unresponsive_machine_holds_up_only_its_own_tasks() -> None:
-    """Its tasks start elsewhere only after a confirmed return or the end of its lease."""
+def test_partitioned_machine_delays_only_its_own_tasks() -> None:
+    """Its tasks start elsewhere only after its return is confirmed or its lease has expired."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 12.0
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
-        lost = simulation.worker_running(task_ids[0])
-        simulation.net.partitions |= {frozenset((lost.name, n)) for n in NODES}
+        partitioned_worker = simulation.worker_running(task_ids[0])
+        simulation.net.partitions |= {frozenset((partitioned_worker.name, n)) for n in NODES}
         await simulation.submit(job("wk-000002", 2, team="blue"))
         await simulation.wait_until_over(120.0)
 
     run(scenario)
 
 
-def test_a_hanging_machine_resumes() -> None:
+def test_jobs_complete_after_a_machine_hangs_for_5_s() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 12.0
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -1,4 +1,4 @@
-"""A controller process that is paused while its clocks run on."""
+"""Pauses of a controller's process while its clocks continue."""
 
 from __future__ import annotations
 
@@ -11,8 +11,11 @@
 
 
 @pytest.mark.parametrize("for_s", [2.5, 6.0, 13.0, 35.0])
-def test_a_leader_is_paused_and_resumes(for_s: float) -> None:
-    """For less and more than its lease and the workers'. It shows what others were told."""
+def test_leader_that_resumes_from_a_pause_reports_current_state(for_s: float) -> None:
+    """The pause is shorter or longer than its own lease and than the workers' leases.
+
+    The admin views of the former leader show what another leader has confirmed to users.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 20.0
@@ -21,30 +24,30 @@
         await simulation.wait_until_running(8)
         rented = simulation.cloud.rented
         old = await simulation.wait_for_leader()
-        still = asyncio.ensure_future(simulation.pause(old, for_s))
+        pausing = asyncio.ensure_future(simulation.pause(old, for_s))
         await asyncio.sleep(for_s / 2)
         if for_s > 10.0:
             assert simulation.leader not in (None, old)
             await simulation.cancel("wk-000002")
-        await still
+        await pausing
         node = simulation.nodes[old]
         await asyncio.sleep(0.1)
         assert node.pause_detector.last_pause_s >= for_s - 1.0
         assert not node.election.is_leader or for_s < 3.0
-        status, got = await simulation.ask_admin(old, "status")
+        status, cluster_view = await simulation.ask_admin(old, "status")
         assert status == 200
-        assert got["leader"] == simulation.leader or simulation.leader is None
+        assert cluster_view["leader"] == simulation.leader or simulation.leader is None
         if for_s > 10.0:
-            _, told = await simulation.ask_admin(old, "jobs/wk-000002")
-            assert told["status"] == "aborted"
+            _, job_view = await simulation.ask_admin(old, "jobs/wk-000002")
+            assert job_view["status"] == "aborted"
         await simulation.wait_until_over(200.0)
-        assert simulation.cloud.rented <= rented + 6  # the machines were not thrown away
+        assert simulation.cloud.rented <= rented + 6  # its machines were not all replaced
 
     run(scenario)
 
 
-def test_a_leader_that_still_leads_when_it_resumes_returns_no_machine() -> None:
-    """An outage gives its lease the full time again, and no machine was heard meanwhile."""
+def test_leader_that_still_leads_after_a_pause_returns_no_machine() -> None:
+    """An outage gives its lease the full time again, but it received no heartbeats in the pause."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
