--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -21,9 +21,9 @@
 ) -> None:
     """The leader has not read the cancellation and still receives heartbeats.
 
-    A lease renewal does not show what others wrote. While renewals succeeded and the watch failed,
-    the leader renewed the workers' leases, and tasks of cancelled jobs ran for longer than
-    ``cancel_s``.
+    A lease renewal does not show what others wrote. A leader that relied on renewals alone kept
+    renewing the workers' leases while its watch failed, and tasks of cancelled jobs ran for longer
+    than ``cancel_s``.
     """
 
     async def scenario(simulation: Simulation) -> None:
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -1,4 +1,4 @@
-"""Events between a claim and its answer: watches, heartbeats and the cloud do not wait."""
+"""Events between a claim and its answer: watch, heartbeats and cloud do not wait for it."""
 
 from __future__ import annotations
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -15,7 +15,7 @@
 
 
 def test_leader_with_a_renewed_lease_commands_nothing_before_it_reads_the_state() -> None:
-    """After an outage the leader's lease had its full time again; it then acted on stale state."""
+    """After an outage the lease has its full time again, although the leader's state is stale."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 100.0
--- a/tests/test_faulty_jobs_and_machines.py
+++ b/tests/test_faulty_jobs_and_machines.py
@@ -23,7 +23,7 @@
 
 
 def test_failing_jobs_neither_delay_others_nor_make_machines_look_faulty() -> None:
-    """Two failing jobs made every machine that ran them look faulty.
+    """Two failing jobs once made every machine that ran them look faulty.
 
     A new leader begins with the recorded failures.
     """
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -61,7 +61,10 @@
 
 @pytest.mark.parametrize("late", [2.0, 9.0, 14.0, 35.0])
 def test_late_copies_of_heartbeats_make_no_lost_machine_schedulable(late: float) -> None:
-    """They reach the same, a new or a restarted leader, and may be from former incarnations."""
+    """The copies reach the same, a new or a restarted leader.
+
+    Some come from former incarnations of workers or from terminated machines.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 6.0
@@ -95,7 +98,7 @@
 
 @pytest.mark.parametrize("delay", [6.0, 14.0, 30.0])
 def test_direct_commands_delivered_after_a_failover_violate_no_invariant(delay: float) -> None:
-    """All direct commands arrive after the leader's crash, and some after their attempt's end."""
+    """Direct commands arrive 6 to 30 s late, some after the leader's crash or the attempt's end."""
 
     async def scenario(simulation: Simulation) -> None:
         delayed_count = 0
--- a/tests/test_lost_transactions.py
+++ b/tests/test_lost_transactions.py
@@ -39,7 +39,7 @@
 
 
 async def submit_and_query(simulation: Simulation, number: int) -> None:
-    """Submit a job and query all controllers until it is final; every third one is cancelled."""
+    """Submit a job, cancel every third one, and query all controllers until its final status."""
     job_id = f"wk-{number:06d}"
     await asyncio.sleep(number * 1.5)
     spec = job(job_id, 1 + number % 3, team=("red", "blue", "guest")[number % 3])
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("role", [Role.LEADING, Role.LEASE_GRACE])
 def test_late_copy_of_a_settled_round_starts_no_task(role: Role) -> None:
-    """The marker was deleted with the round, so the state service does not refuse the copy."""
+    """The marker of a settled round is deleted, so the state service does not refuse a copy."""
 
     async def main() -> None:
         simulation = Simulation()
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -74,7 +74,7 @@
 
 
 def test_machine_that_receives_nothing_gets_no_work_and_is_returned() -> None:
-    """Each time its lease expired, the machine looked idle, and it was given task after task."""
+    """Such a machine looked idle each time its lease expired, and was given task after task."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 8.0
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize("for_s", [2.5, 6.0, 13.0, 35.0])
 def test_leader_that_resumes_from_a_pause_reports_current_state(for_s: float) -> None:
-    """The pause is shorter or longer than its own lease and than the workers' leases.
+    """The pause is shorter or longer than the leader's lease and the workers' leases.
 
     The admin views of the former leader show what another leader has confirmed to users.
     """
@@ -47,7 +47,7 @@
 
 
 def test_leader_that_still_leads_after_a_pause_returns_no_machine() -> None:
-    """An outage gives its lease the full time again, but it received no heartbeats in the pause."""
+    """An outage gives the lease its full time again, although no heartbeat came in the pause."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
