--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,6 +1,7 @@
-"""Worlds of 970 machines, with the limits of two kinds of deployment.
+"""Two deployments of 970 machines, and the load that keeps them busy.
 
-One has a few controllers in one zone and small machines, the other five controllers in three zones.
+One has three controllers and all machines in one zone, the other five controllers in three zones.
+Their limits on requests to the state service and the cloud differ.
 """
 
 from __future__ import annotations
@@ -11,29 +12,29 @@
 
 from tests.simulation import MACHINE_TYPES, SETTINGS, Deployment, Simulation, job
 
-MACHINES = 970
-TEAMS = 16
+MACHINE_COUNT = 970
+TEAM_COUNT = 16
 
 
-def _text(swaps: list[tuple[str, str]], teams: str) -> str:
+def _settings_text(replacements: list[tuple[str, str]], teams: str) -> str:
     head, _, rest = SETTINGS.partition("[[cluster.teams]]")
-    _, mark, tail = rest.partition("[[cluster.objectives]]")
-    text = head + teams + mark + tail
-    for old, new in swaps:
+    _, heading, tail = rest.partition("[[cluster.objectives]]")
+    text = head + teams + heading + tail
+    for old, new in replacements:
         assert old in text, old
         text = text.replace(old, new)
     return text
 
 
-def _teams(cpus: float, most: float) -> str:
+def _team_settings(cpus: float, cpus_max: float) -> str:
     return "".join(
-        f'[[cluster.teams]]\nname = "team-{n:02d}"\ncpus = {cpus}\ncpus_max = {most}\n'
-        for n in range(TEAMS)
+        f'[[cluster.teams]]\nname = "team-{n:02d}"\ncpus = {cpus}\ncpus_max = {cpus_max}\n'
+        for n in range(TEAM_COUNT)
     )
 
 
 ONE_ZONE = Deployment(
-    text=_text(
+    text=_settings_text(
         [
             ('zones = ["a", "b"]', 'zones = ["a"]'),
             ("report_s = 1.0", "report_s = 4.0"),
@@ -42,15 +43,15 @@
             ("\nrps = 200.0\nwrite_rps = 60.0", "\nrps = 150.0\nwrite_rps = 20.0"),
             ("rps = 10.0\nlist_lag_s = 4.0", "rps = 6.0\nlist_lag_s = 8.0"),
         ],
-        _teams(150.0, 1350.0),
+        _team_settings(150.0, 1350.0),
     ),
     machine_types=({**MACHINE_TYPES[0], "startup_s": 10.0, "roosts": ["a"]},),
-    spot=MACHINES,
+    spot=MACHINE_COUNT,
     on_demand=0,
     step_s=0.5,
 )
 THREE_ZONES = Deployment(
-    text=_text(
+    text=_settings_text(
         [
             ('zones = ["a", "b"]', 'zones = ["a", "b", "c"]'),
             ("count = 3", "count = 5"),
@@ -61,12 +62,12 @@
             ("value_kb = 4.0\ntxn_ops = 8", "value_kb = 16.0\ntxn_ops = 12"),
             ("rps = 10.0\nlist_lag_s = 4.0", "rps = 4.0\nlist_lag_s = 6.0"),
         ],
-        _teams(300.0, 1200.0),
+        _team_settings(300.0, 1200.0),
     ),
     nodes=("n0", "n1", "n2", "n3", "n4"),
     node_zones=("a", "b", "c"),
     machine_types=({**MACHINE_TYPES[0], "startup_s": 10.0, "roosts": ["a", "b", "c"]},),
-    spot=MACHINES,
+    spot=MACHINE_COUNT,
     on_demand=0,
     step_s=0.5,
 )
@@ -74,17 +75,17 @@
 
 @dataclass
 class Load:
-    """Jobs of two classes, as many as keep all machines at work for a while."""
+    """Submits jobs, numbered in order and assigned to all teams in rotation."""
 
     simulation: Simulation
     count: int = 0
-    asked: dict[str, float] = field(default_factory=dict)  # when each job was accepted
+    accepted_at: dict[str, float] = field(default_factory=dict)  # by job id
 
-    async def add(self, jobs: int, tasks: int, **more: Any) -> None:
-        for _ in range(jobs):
+    async def add(self, job_count: int, task_count: int, **attributes: Any) -> None:
+        for _ in range(job_count):
             self.count += 1
-            team, image = f"team-{self.count % TEAMS:02d}", f"img-{self.count % 6}"
-            description = {"team": team, "image": image, "estimated_run_s": 20.0} | more
-            spec = job(f"wk-{self.count:06d}", tasks, **description)
+            team, image = f"team-{self.count % TEAM_COUNT:02d}", f"img-{self.count % 6}"
+            description = {"team": team, "image": image, "estimated_run_s": 20.0} | attributes
+            spec = job(f"wk-{self.count:06d}", task_count, **description)
             await self.simulation.submit(spec)
-            self.asked[spec["name_id"]] = asyncio.get_running_loop().time()
+            self.accepted_at[spec["name_id"]] = asyncio.get_running_loop().time()
--- a/tests/fleet_builder.py
+++ b/tests/fleet_builder.py
@@ -1,4 +1,4 @@
-"""A fleet over one job, and heartbeats and attempts of its machines, for tests of ``fleet``."""
+"""Builds a fleet with one job, and heartbeats and attempts of machines, for tests."""
 
 from __future__ import annotations
 
@@ -52,19 +52,19 @@
     task: int = 0,
     progress_saved: bool = False,
 ) -> protocol.TaskReport:
-    """One task of the job as a worker lists it."""
+    """One task of the job as a worker's heartbeat reports it."""
     return protocol.TaskReport(
         protocol.task_id(JOB_ID, task), number, state.value, cause, progress_saved
     )
 
 
 def running(number: int, task: int = 0) -> protocol.TaskReport:
-    """A listed task that runs."""
+    """A reported task that runs."""
     return task_report(number, protocol.TaskState.RUNNING, task=task)
 
 
 def exited(number: int, cause: str, progress_saved: bool = False) -> protocol.TaskReport:
-    """A listed task that has exited."""
+    """A reported task that has exited."""
     return task_report(number, protocol.TaskState.EXITED, cause, progress_saved=progress_saved)
 
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,4 +1,4 @@
-"""Shared parts of scenarios: several controllers with stand-ins, in virtual time."""
+"""Shared parts of scenarios that run several controllers in virtual time."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def run(scenario: Scenario, seed: int = 1, deployment: Deployment = SMALL) -> Simulation:
-    """Play a scenario and a calm time after it; no invariant may be violated."""
+    """Run a scenario, then 80 s without faults; fail if any invariant is violated."""
 
     async def main() -> Simulation:
         simulation = Simulation(seed, deployment)
         await scenario(simulation)
-        await simulation.end_faults(80.0)  # late messages get their chance
+        await simulation.run_without_faults(80.0)  # delayed messages arrive meanwhile
         assert not simulation.checker.violations, simulation.checker.violations
         assert simulation.checker.start_count > 0
         return simulation
@@ -35,23 +35,23 @@
 
 
 def other_controllers(name: str) -> list[str]:
-    """All controllers but one."""
+    """All controllers but the named one."""
     return [node for node in NODES if node != name]
 
 
 def lost_transaction_answers(simulation: Simulation, share: float, late: bool) -> DeliveryRule:
-    """Some transactions get no answer; they are carried out at once, or 2 to 12 s later."""
+    """Lose the responses of a share of transactions, which commit at once or 2 to 12 s late."""
 
-    def fate(source: str, addr: str, method: str, target: str, body: Any) -> Any:
+    def rule(source: str, addr: str, method: str, target: str, body: Any) -> Any:
         if target == "/multi" and simulation.random.random() < share:
             return (simulation.random.uniform(2.0, 12.0) if late else 0.0), True
         return 0.0, False
 
-    return fate
+    return rule
 
 
 async def cancel_at(simulation: Simulation, job_id: str, nodes: list[str]) -> bool:
-    """One try to cancel at each of these nodes. True if one of them confirmed it."""
+    """Try to cancel once on each of these nodes in turn, until one confirms. Whether one did."""
     for node in nodes:
         if await simulation.try_to_cancel(job_id, node) == "aborted":
             return True
@@ -59,9 +59,9 @@
 
 
 async def query_all_controllers(simulation: Simulation, job_id: str) -> None:
-    """Ask all nodes at the same moment, and repeat the submission there."""
+    """Query the job and repeat its submission on all controllers, all at the same moment."""
 
-    async def one(node: str, method: str, path: str, body: Any) -> None:
+    async def call(node: str, method: str, path: str, body: Any) -> None:
         try:
             status, answer = await simulation.ask(node, method, path, body)
         except NoResponseError:
@@ -69,6 +69,8 @@
         simulation.checker.record_answer(job_id, status, answer)
         assert status not in (400, 422), (job_id, node, answer)
 
-    asks = [one(node, "GET", f"/v2/runs/{job_id}", None) for node in simulation.nodes]
-    asks += [one(node, "POST", "/v2/runs", simulation.jobs[job_id]) for node in simulation.nodes]
-    await asyncio.gather(*asks)
+    requests = [call(node, "GET", f"/v2/runs/{job_id}", None) for node in simulation.nodes]
+    requests += [
+        call(node, "POST", "/v2/runs", simulation.jobs[job_id]) for node in simulation.nodes
+    ]
+    await asyncio.gather(*requests)
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -1,4 +1,4 @@
-"""A leader's scheduler over a small cluster, for tests of decisions; nothing is ever sent."""
+"""A leader's scheduler on a small cluster, for tests of its decisions; it sends no requests."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 ZONES = ("a", "b", "c")
 
 
-class ScriptedClaims:
-    """Wins every claim; ``meanwhile`` happens while it is under way."""
+class ScriptedClaimWriter:
+    """Commits every claim; calls ``meanwhile`` while the claim is in flight."""
 
     def __init__(self) -> None:
         self.meanwhile: Callable[[], None] = lambda: None
@@ -51,7 +51,7 @@
 
 
 class RecordingDispatcher:
-    """Keeps what would be sent."""
+    """Records the launches that a dispatcher would send."""
 
     def __init__(self) -> None:
         self.launched: list[Attempt] = []
@@ -61,10 +61,10 @@
 
 
 class Cluster:
-    """The leader's knowledge, with a real scheduler over it; nothing is ever sent."""
+    """The leader's state with a real scheduler, and with stand-ins for what sends requests."""
 
     def __init__(self) -> None:
-        self.claims = ScriptedClaims()
+        self.claims = ScriptedClaimWriter()
         self.dispatcher = RecordingDispatcher()
         text = SETTINGS.format(name="n0", siblings="").replace('["a", "b"]', '["a", "b", "c"]')
         self.settings: Settings = parse(text)
@@ -106,7 +106,7 @@
         )
 
     def machine(self, number: int, zone: str, taken_cores: float = 0.0) -> Machine:
-        """A machine of 4 cores that has reported; ``taken_cores`` of them hold other work."""
+        """Add a machine of 4 cores that is up; another job's task uses ``taken_cores`` of them."""
         machine = self.fleet.get_or_add(f"host-{number:06d}", now())
         machine.machine_type, machine.zone, machine.spot = 0, self.names.zones.index(zone), True
         machine.incarnation, machine.acknowledged_epoch, machine.health = 1, EPOCH, Health.UP
@@ -121,7 +121,7 @@
         return self.cluster_state.add_job(spec["name_id"], record)
 
     def zones_of_starts(self, job_id: str) -> list[str]:
-        """Where the starts of one round's decision would put the job's tasks."""
+        """The zone of each start of the job that one round decides on."""
         starts = self.scheduler.decide(now()).starts
         zones = self.names.zones
         return [zones.name(start.machine.zone) for start in starts if start.job.id == job_id]
@@ -134,14 +134,14 @@
 def cluster_test(
     scenario: Callable[Concatenate[Cluster, Params], Awaitable[None] | None],
 ) -> Callable[Params, None]:
-    """Run a test on a new cluster, in virtual time; its other parameters are those of pytest."""
+    """Run a test with a new cluster in virtual time; pytest supplies the other parameters."""
 
     @functools.wraps(scenario)
     def test(*args: Params.args, **kwargs: Params.kwargs) -> None:
         async def main() -> None:
-            outcome = scenario(Cluster(), *args, **kwargs)
-            if outcome is not None:
-                await outcome
+            awaitable = scenario(Cluster(), *args, **kwargs)
+            if awaitable is not None:
+                await awaitable
 
         play(main())
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,7 +1,7 @@
-"""The emulated programs in virtual time, with the controllers in the same process.
+"""Runs the controllers and all emulated programs in one process, in virtual time.
 
-The invariant checker sees every start and every answer as it happens, so that a scenario is checked
-over its whole course.
+The invariant checker observes every task start and every response when it happens, so that the
+whole scenario is checked and not only its final state.
 """
 
 from __future__ import annotations
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """The programs and machines of a simulation; by default as few as the faults allow."""
+    """The controllers and machines of a simulation; the defaults are a minimal cluster."""
 
     text: str = SETTINGS
     nodes: tuple[str, ...] = NODES
@@ -103,8 +103,8 @@
     machine_types: tuple[dict[str, Any], ...] = tuple(MACHINE_TYPES)
     spot: int = 6
     on_demand: int = 6
-    step_s: float = 0.1  # how finely workers' time goes on
-    list_page_size: int = 500  # machines in one page of the cloud's list
+    step_s: float = 0.1  # interval at which workers advance their tasks
+    list_page_size: int = 500  # machines per page of the cloud's list
     zone_capacity: int | None = None
 
     def zone_of(self, name: str) -> str:
@@ -131,7 +131,7 @@
 
 
 class Simulation:
-    """The controllers, workers, cloud and state service of one scenario, and its checker."""
+    """The controllers, workers, cloud, state service and invariant checker of one scenario."""
 
     def __init__(self, seed: int = 1, deployment: Deployment = SMALL) -> None:
         self.deployment = deployment
@@ -140,11 +140,11 @@
         self.limits = {team.name: team.most_cores for team in cluster.teams}
         self.random = random.Random(seed)
         self.run_s = 5.0
-        self.run_s_by_job: dict[str, float] = {}  # by job, where it is not run_s
-        self.spread_s = 0.0  # by how much the tasks of a job differ
-        self.boot_delay_s = 0.0  # by how much machines rented now boot late
-        self.failing_jobs: set[str] = set()  # jobs that fail on every machine
-        self.failing_tasks: set[str] = set()  # and single tasks
+        self.run_s_by_job: dict[str, float] = {}  # by job id; others run for run_s
+        self.spread_s = 0.0  # range of run times within a job
+        self.boot_delay_s = 0.0  # extra boot time of machines rented from now on
+        self.failing_jobs: set[str] = set()  # jobs whose tasks fail on every machine
+        self.failing_tasks: set[str] = set()  # tasks that fail on every machine
         self.jobs: dict[str, dict[str, Any]] = {}
         self.checker = InvariantChecker(self)
         self.net = SimulatedNetwork(self)
@@ -153,13 +153,13 @@
         self.net.hosts["state:1"] = self.state_service.handle
         self.net.hosts["cloud:1"] = self.cloud.handle
         self.nodes: dict[str, Controller] = {}
-        self._running: dict[str, asyncio.Task[None]] = {}
-        self._tasks = BackgroundTasks()
+        self._controller_tasks: dict[str, asyncio.Task[None]] = {}
+        self._background_tasks = BackgroundTasks()
         for name in deployment.nodes:
             self.boot(name)
 
     def background(self, work: Any) -> None:
-        self._tasks.start(work)
+        self._background_tasks.start(work)
 
     def public_address(self, node: str) -> str:
         return f"{node}:1"
@@ -171,8 +171,8 @@
         job_id, _, task = task_id.rpartition("/")
         if self.jobs[job_id]["shape"] == "service":
             return math.inf
-        longer_s = int(task) * 0.37 % 1.0 * self.spread_s
-        return self.run_s_by_job.get(job_id, self.run_s) + longer_s
+        extra_s = int(task) * 0.37 % 1.0 * self.spread_s
+        return self.run_s_by_job.get(job_id, self.run_s) + extra_s
 
     # ---- controllers -------------------------------------------------------------------------
 
@@ -181,7 +181,7 @@
         self.nodes[name] = node
         context = contextvars.copy_context()
         context.run(PROCESS.set, name)
-        self._running[name] = context.run(asyncio.ensure_future, node.run())
+        self._controller_tasks[name] = context.run(asyncio.ensure_future, node.run())
 
         async def public(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
             data = orjson.dumps(body) if body is not None else b""
@@ -196,7 +196,7 @@
         self.net.hosts[f"{name}:2"] = peer
 
     def crash(self, name: str) -> None:
-        self._running.pop(name).cancel()
+        self._controller_tasks.pop(name).cancel()
         self.nodes.pop(name)
         del self.net.hosts[f"{name}:1"], self.net.hosts[f"{name}:2"]
 
@@ -207,7 +207,7 @@
         return loop
 
     async def pause(self, name: str, for_s: float) -> None:
-        """The process does nothing while its clocks run on; what comes for it waits."""
+        """Suspend a controller: clocks advance, and requests to it wait until it resumes."""
         self.loop.paused.add(name)
         await asyncio.sleep(for_s)
         self.loop.resume(name)
@@ -251,13 +251,13 @@
     async def cancel(self, job_id: str) -> str:
         while True:
             for node in self.deployment.nodes:
-                final = await self.try_to_cancel(job_id, node)
-                if final is not None:
-                    return final
+                status = await self.try_to_cancel(job_id, node)
+                if status is not None:
+                    return status
             await asyncio.sleep(1.0)
 
     async def try_to_cancel(self, job_id: str, node: str) -> str | None:
-        """Ask one node once. The job's final state if it says one."""
+        """Send one cancel request to one controller. The job's status if the response has one."""
         self.checker.cancel_requested.add(job_id)
         try:
             status, answer = await self.ask(node, "POST", f"/v2/runs/{job_id}/withdraw")
@@ -282,7 +282,7 @@
         self.checker.check_waiting_jobs()
 
     async def wait_until_over(self, within_s: float) -> None:
-        """Poll every job on every node until all have reached their final state."""
+        """Query every job on every controller until all jobs have a final status."""
         end = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < end:
             await self.poll()
@@ -291,11 +291,11 @@
             if all(self.checker.statuses.get(j) in ("done", "aborted") for j in self.jobs):
                 return
             await asyncio.sleep(1.0)
-        states = {j: self.checker.statuses.get(j) for j in self.jobs}
-        raise AssertionError(f"not over after {within_s} s: {states}")
+        statuses = {j: self.checker.statuses.get(j) for j in self.jobs}
+        raise AssertionError(f"jobs without a final status after {within_s} s: {statuses}")
 
-    async def end_faults(self, for_s: float) -> None:
-        """No faults from now on, while users go on asking every 5 s."""
+    async def run_without_faults(self, for_s: float) -> None:
+        """Tell the checker that all faults have ended; users keep querying jobs every 5 s."""
         self.checker.faults_ended_at = asyncio.get_running_loop().time()
         for _ in range(int(for_s / 5.0)):
             await asyncio.sleep(5.0)
@@ -303,13 +303,13 @@
             self.checker.check_cancellations()
 
     async def wait_until_running(self, count: int) -> list[str]:
-        """Wait until so many tasks run; their names."""
+        """Wait until at least ``count`` tasks run, and return the ids of all that run."""
         while True:
-            now_on = [
+            running = [
                 task_id for task_id, machines in self.checker.machines_by_task.items() if machines
             ]
-            if len(now_on) >= count:
-                return now_on
+            if len(running) >= count:
+                return running
             await asyncio.sleep(0.1)
 
     def worker_running(self, task_id: str) -> Worker:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Packages import only packages above them in the table of docs/architecture.md."""
+"""Packages import only packages listed above them in the table of docs/architecture.md."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def listed_packages() -> list[str]:
-    """The packages in the order of the page's table."""
+    """The packages in the order of the table in docs/architecture.md."""
     page = (ROOT / "docs" / "architecture.md").read_text(encoding="utf-8")
     table = page.split("## Packages")[1].split("## Who owns")[0]
     return [name for row in TABLE_ROW.findall(table) for name in re.findall(r"\w+", row)]
 
 
 def imported_packages(package: str) -> Iterator[str]:
-    """The packages that a package's modules import, its tests left out."""
+    """The packages that a package's modules import; its test modules are ignored."""
     for path in sorted((PACKAGES / package).rglob("*.py")):
         if path.name.startswith("test_"):
             continue
@@ -38,12 +38,12 @@
                     yield module.split(".")[1]
 
 
-def test_every_package_is_listed() -> None:
+def test_every_package_is_listed_in_the_architecture_table() -> None:
     found = {path.name for path in PACKAGES.iterdir() if (path / "__init__.py").exists()}
     assert found == set(listed_packages())
 
 
-def test_packages_import_only_what_is_above_them() -> None:
+def test_packages_import_only_packages_listed_above_them() -> None:
     listed = listed_packages()
     for rank, package in enumerate(listed):
         allowed = {*listed[: rank + 1], *UNRANKED}
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -10,8 +10,8 @@
 from tests.virtual import play
 
 
-def test_a_team_without_limit_and_objectives_is_served() -> None:
-    """All their jobs were refused with 422, as beyond a limit of 0 cores."""
+def test_jobs_of_a_team_without_limit_and_of_a_class_without_objectives_complete() -> None:
+    """A missing limit was read as 0 cores, so all jobs of such teams were refused with 422."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 6))
@@ -27,16 +27,16 @@
     run(scenario)
 
 
-def test_a_large_task_starts_though_small_ones_fill_every_gap() -> None:
-    """Tasks of 16 cores had waited 320 to 500 s: no machine ever had 16 cores free at once."""
+def test_a_task_that_needs_a_whole_machine_starts_despite_a_backlog_of_small_tasks() -> None:
+    """Tasks of 16 cores waited 320 to 500 s, as no machine ever had 16 cores free at once."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.spread_s = 10.0
-        # Their teams' limits are all the cores there are, and no machine is ever empty by itself.
+        # The limits of both teams add up to all cores; no machine becomes empty unless reserved.
         await simulation.submit(job("wk-000001", 2000, cores=1.0, team="red", estimated_run_s=8.0))
         await simulation.submit(job("wk-000002", 2000, cores=1.0, team="blue", estimated_run_s=8.0))
         await simulation.wait_until_running(16)
-        asked = now()
+        submitted_at = now()
         wide = job(
             "wk-000003",
             3,
@@ -49,7 +49,7 @@
         await simulation.submit(wide)
         while "wk-000003/0" not in simulation.checker.started_at:
             await asyncio.sleep(1.0)
-            assert now() < asked + 240.0
+            assert now() < submitted_at + 240.0
         for n in (1, 2, 3):
             await simulation.cancel(f"wk-{n:06d}")
         await simulation.wait_until_over(60.0)
@@ -57,37 +57,40 @@
     run(scenario, deployment=replace(SMALL, spot=6, on_demand=0))
 
 
-def test_the_largest_job_starts_though_small_ones_keep_coming() -> None:
-    """Moore's rule alone puts a hopeless job behind every small one, for as long as they come."""
+def test_the_largest_job_starts_despite_a_steady_stream_of_small_jobs() -> None:
+    """The Moore-Hodgson algorithm puts a job that cannot be on time after all jobs that can.
+
+    While small jobs keep arriving, that order alone would never start the large one.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-100000", 400, estimated_run_s=5.0))
-        large = now()
+        submitted_at = now()
         for n in range(75):
             await simulation.submit(job(f"wk-{n:06d}", 3, estimated_run_s=5.0))
             await asyncio.sleep(2.9)
-        begun = [
+        start_times = [
             at
             for task_id, at in simulation.checker.started_at.items()
             if task_id.startswith("wk-100000/")
         ]
-        assert begun
-        assert min(begun) < large + 240.0
-        served = [
+        assert start_times
+        assert min(start_times) < submitted_at + 240.0
+        with_status = [
             n for n in range(75) if simulation.checker.statuses.get(f"wk-{n:06d}") is not None
         ]
-        assert len(served) == 75
+        assert len(with_status) == 75
         await simulation.cancel("wk-100000")
         await simulation.wait_until_over(200.0)
 
     run(scenario)
 
 
-def test_the_soonest_of_several_start_objectives_decides_when_to_preempt() -> None:
-    """The last goal of a class stood for all: at 5 s and 50 s, room was made only after 10 s."""
-    goal = '[[cluster.objectives]]\nkind = "wait"\nclass = "rush"\nwithin_s = {}\nshare = 0.8\n'
-    goals = "".join(goal.format(seconds) for seconds in (5.0, 50.0, 90.0))
-    text = SMALL.text.replace("[cluster.workers]", goals + "[cluster.workers]")
+def test_the_shortest_start_objective_of_a_class_decides_when_to_preempt() -> None:
+    """Only the last objective of a class counted: with 5 and 50 s, preemption began after 10 s."""
+    template = '[[cluster.objectives]]\nkind = "wait"\nclass = "rush"\nwithin_s = {}\nshare = 0.8\n'
+    objectives = "".join(template.format(seconds) for seconds in (5.0, 50.0, 90.0))
+    text = SMALL.text.replace("[cluster.workers]", objectives + "[cluster.workers]")
 
     async def scenario() -> None:
         simulation = Simulation(1, replace(SMALL, text=text, spot=5, on_demand=0))
@@ -95,25 +98,24 @@
         await simulation.submit(job("wk-000001", 30))
         await simulation.submit(job("wk-000002", 30, team="blue"))
         await simulation.wait_until_running(10)
-        asked = asyncio.get_running_loop().time()
+        submitted_at = asyncio.get_running_loop().time()
         await simulation.submit(job("wk-000003", 2, team="blue", job_class="rush", priority="high"))
         while "wk-000003/1" not in simulation.checker.started_at:
             await asyncio.sleep(0.1)
-        assert simulation.checker.started_at["wk-000003/1"] - asked < 6.0
+        assert simulation.checker.started_at["wk-000003/1"] - submitted_at < 6.0
         assert not simulation.checker.violations
 
     play(scenario())
 
 
-def test_a_task_within_its_guarantee_is_not_preempted_by_a_priority_beyond_one() -> None:
-    """It came first in the order, and so got the room of its own stop, again and again."""
+def test_a_higher_priority_job_beyond_the_guarantee_preempts_no_task_within_it() -> None:
+    """The preempted task came first in the order, so it got its own capacity back, in a loop."""
 
     async def scenario() -> None:
         simulation = Simulation(1, replace(SMALL, spot=2, on_demand=0))
         simulation.run_s = 40.0
-        await simulation.submit(
-            job("wk-000001", 2, estimated_run_s=40.0)
-        )  # four cores: just the guarantee
+        # Two tasks of two cores are exactly the guarantee of four cores.
+        await simulation.submit(job("wk-000001", 2, estimated_run_s=40.0))
         await simulation.submit(job("wk-000002", 2, estimated_run_s=40.0, team="blue"))
         await simulation.wait_until_running(4)
         await simulation.submit(job("wk-000003", 2, job_class="rush", priority="high"))
@@ -124,7 +126,7 @@
     play(scenario())
 
 
-def test_team_limits_zones_and_machine_kinds_are_kept() -> None:
+def test_starts_respect_team_limits_zones_and_on_demand_requirements() -> None:
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000001", 20))
         await simulation.submit(job("wk-000002", 4, team="blue", zone="b", spot_allowed=False))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
-"""970 machines and the limits of two kinds of deployment, in virtual time.
+"""Faults in two deployments of 970 machines, in virtual time.
 
-Virtual time shows no processor cost: what a round may visit is counted instead.
+Virtual time does not show processor cost, so one test counts visited machines instead.
 """
 
 from __future__ import annotations
@@ -13,39 +13,41 @@
 import pytest
 
 from petrelthread.fleet import Machine
-from tests.fleet import MACHINES, ONE_ZONE, THREE_ZONES, Load
+from tests.fleet import MACHINE_COUNT, ONE_ZONE, THREE_ZONES, Load
 from tests.simulation import Deployment, Simulation, job
 from tests.virtual import play
 
 Scenario = Callable[[Simulation, Load], Awaitable[None]]
-SETTLED_S = 20.0  # a new leader has heard every machine that can be heard
-BEGUN_S = 150.0  # and no job waits longer than this for its first task
+MAX_SETTLE_S = 20.0  # until a new leader has heartbeats of all machines that can reach it
+MAX_START_DELAY_S = 150.0  # from a job's acceptance until its first task starts
 
 
 def now() -> float:
     return asyncio.get_running_loop().time()
 
 
-async def at_work(simulation: Simulation, load: Load) -> None:
-    """All machines up, and most of them with two tasks."""
+async def fill_machines(simulation: Simulation, load: Load) -> None:
+    """Submit jobs until all machines are up and as many tasks run as there are machines."""
     simulation.run_s = 20.0
     await load.add(90, 100)
-    while sum(m.worker.up for m in simulation.cloud.machines.values()) < MACHINES:
+    while sum(m.worker.up for m in simulation.cloud.machines.values()) < MACHINE_COUNT:
         await asyncio.sleep(0.5)
         assert now() < 200.0, "the fleet never came up"
-    await simulation.wait_until_running(MACHINES)
+    await simulation.wait_until_running(MACHINE_COUNT)
 
 
-async def settled(simulation: Simulation, but: frozenset[str] = frozenset()) -> None:
-    """A leader has heard all machines that are up, in a stated time."""
-    end = now() + SETTLED_S
+async def wait_until_settled(
+    simulation: Simulation, excluded: frozenset[str] = frozenset()
+) -> None:
+    """Wait until all machines that are up, except excluded ones, know the leader's epoch."""
+    deadline = now() + MAX_SETTLE_S
     while True:
-        assert now() < end, "the leader has not settled"
+        assert now() < deadline, "the leader has not settled"
         await asyncio.sleep(0.5)
         if simulation.leader is None:
             continue
         fleet = simulation.nodes[simulation.leader].fleet
-        up = [n for n, m in simulation.cloud.machines.items() if m.worker.up and n not in but]
+        up = [n for n, m in simulation.cloud.machines.items() if m.worker.up and n not in excluded]
         known = [fleet.find(name) for name in up]
         if all(m is not None and m.acknowledged_epoch == fleet.epoch for m in known):
             return
@@ -55,7 +57,7 @@
     async def main() -> Simulation:
         simulation = Simulation(1, deployment)
         load = Load(simulation)
-        await at_work(simulation, load)
+        await fill_machines(simulation, load)
         await scenario(simulation, load)
         await simulation.wait_until_over(400.0)
         simulation.checker.faults_ended_at = now()
@@ -65,7 +67,11 @@
         for task_id, at in simulation.checker.started_at.items():
             job_id = task_id.rpartition("/")[0]
             first[job_id] = min(first[job_id], at)
-        late = {j: at - load.asked[j] for j, at in first.items() if at - load.asked[j] > BEGUN_S}
+        late = {
+            j: at - load.accepted_at[j]
+            for j, at in first.items()
+            if at - load.accepted_at[j] > MAX_START_DELAY_S
+        }
         assert not late, late
         return simulation
 
@@ -84,25 +90,25 @@
 
 
 @pytest.mark.parametrize("deployment", [ONE_ZONE, THREE_ZONES], ids=["one zone", "three zones"])
-def test_all_controllers_crash_twice(deployment: Deployment) -> None:
+def test_no_worker_lease_expires_when_all_controllers_crash_twice(deployment: Deployment) -> None:
     async def scenario(simulation: Simulation, load: Load) -> None:
         for pause in (3.0, 0.2):
             crash_all(simulation)
             await asyncio.sleep(pause)
             boot_all(simulation)
             await asyncio.sleep(1.0)
-        await settled(simulation)
+        await wait_until_settled(simulation)
 
     simulation = run(scenario, deployment)
-    # Nothing was lost but what the wait for answers cost: no lease ran out.
+    # The crashes cost only the wait for responses: no worker killed tasks at the end of a lease.
     assert sum(m.worker.killed_by_lease for m in simulation.cloud.machines.values()) == 0
 
 
-def test_a_wave_of_spot_terminations_during_a_failover() -> None:
+def test_jobs_complete_after_mass_spot_terminations_during_a_failover() -> None:
     async def scenario(simulation: Simulation, load: Load) -> None:
         old = await simulation.wait_for_leader()
         names = sorted(simulation.cloud.machines)
-        for at, name in enumerate(names[: MACHINES // 3]):
+        for at, name in enumerate(names[: MACHINE_COUNT // 3]):
             if at == 100:
                 simulation.crash(old)
             machine = simulation.cloud.machines.pop(name)
@@ -111,12 +117,12 @@
             if at % 20 == 0:
                 await asyncio.sleep(0.5)
         simulation.boot(old)
-        await settled(simulation)
+        await wait_until_settled(simulation)
 
     run(scenario, ONE_ZONE)
 
 
-def test_a_zone_is_cut_off_for_longer_than_a_lease() -> None:
+def test_a_zone_cut_off_for_longer_than_a_lease_is_reported_down() -> None:
     async def scenario(simulation: Simulation, load: Load) -> None:
         inside = {n for n in simulation.deployment.nodes if simulation.deployment.zone_of(n) == "c"}
         inside |= {n for n, m in simulation.cloud.machines.items() if m.description.zone == "c"}
@@ -128,41 +134,39 @@
             *simulation.cloud.machines,
         } - inside
         pairs = [(a, b) for a in inside for b in outside if not a[:5] == b[:5] == "host-"]
-        cuts = {frozenset(pair) for pair in pairs}
-        simulation.net.partitions |= cuts
+        pairs_cut_off = {frozenset(pair) for pair in pairs}
+        simulation.net.partitions |= pairs_cut_off
         await asyncio.sleep(5.0)
-        await settled(simulation, frozenset(inside))
+        await wait_until_settled(simulation, frozenset(inside))
         await asyncio.sleep(simulation.workers.lease_s + 5.0)
         assert simulation.leader is not None
         assert simulation.leader not in inside
         zone = simulation.nodes[simulation.leader].cluster_state.names.zones.index("c")
-        assert (
-            zone in simulation.nodes[simulation.leader].zone_monitor.cut_off_since
-        )  # said plainly which one fell
+        assert zone in simulation.nodes[simulation.leader].zone_monitor.cut_off_since
         leader = simulation.nodes[simulation.leader]
         zones = orjson.loads((await leader.handle_peer("GET", "/admin/v1/zones", b"")).body)
-        told = {entry["zone"]: entry["says"] for entry in zones["zones"]}
-        assert told["c"].startswith("DOWN"), told
-        assert not told["a"].startswith("DOWN"), told
+        zone_texts = {entry["zone"]: entry["says"] for entry in zones["zones"]}
+        assert zone_texts["c"].startswith("DOWN"), zone_texts
+        assert not zone_texts["a"].startswith("DOWN"), zone_texts
         waiting = next(job for job in leader.cluster_state.open_jobs.values() if job.pending_count)
         path = f"/admin/v1/jobs/{waiting.id}"
-        why = orjson.loads((await leader.handle_peer("GET", path, b"")).body)["why"]
-        assert f"{waiting.pending_count} waiting" in why, why
-        simulation.net.partitions -= cuts
+        explanation = orjson.loads((await leader.handle_peer("GET", path, b"")).body)["why"]
+        assert f"{waiting.pending_count} waiting" in explanation, explanation
+        simulation.net.partitions -= pairs_cut_off
         await asyncio.sleep(10.0)
 
     run(scenario, THREE_ZONES)
 
 
-def test_a_rolling_restart_and_a_leader_paused_beyond_its_lease() -> None:
-    """What reaches the old leader while it stands still is as old as that when it goes on."""
+def test_a_leader_paused_beyond_its_lease_after_a_rolling_restart_is_replaced() -> None:
+    """A full partition simulates the pause: what arrived during a pause would be stale after it."""
 
     async def scenario(simulation: Simulation, load: Load) -> None:
         for name in simulation.deployment.nodes:
             simulation.crash(name)
             await asyncio.sleep(3.0)
             simulation.boot(name)
-        await settled(simulation)
+        await wait_until_settled(simulation)
         old = await simulation.wait_for_leader()
         others = {
             "state",
@@ -171,11 +175,11 @@
             *simulation.deployment.nodes,
             *simulation.cloud.machines,
         } - {old}
-        still = {frozenset((old, other)) for other in others}
-        simulation.net.partitions |= still
+        pairs_cut_off = {frozenset((old, other)) for other in others}
+        simulation.net.partitions |= pairs_cut_off
         await asyncio.sleep(simulation.workers.lease_s + 6.0)
-        simulation.net.partitions -= still
-        await settled(simulation)
+        simulation.net.partitions -= pairs_cut_off
+        await wait_until_settled(simulation)
         assert simulation.leader is not None
         assert simulation.leader != old
 
@@ -189,18 +193,18 @@
         await simulation.submit(job("wk-000001", 12))
         await simulation.wait_until_running(6)
         leader = simulation.nodes[await simulation.wait_for_leader()]
-        looked: list[int] = []
+        examined: list[int] = []
         attempts = leader.fleet.attempts_on
 
-        def counted(machine: Machine) -> Any:
-            looked.append(machine.index)
+        def counting(machine: Machine) -> Any:
+            examined.append(machine.index)
             return attempts(machine)
 
         worker = next(m.worker for m in simulation.cloud.machines.values() if m.worker.tasks)
         body = orjson.dumps(worker.heartbeat())
-        leader.fleet.attempts_on = counted  # type: ignore[method-assign]
+        leader.fleet.attempts_on = counting  # type: ignore[method-assign]
         await leader.handle("POST", "/checkin", body)
-        assert len(set(looked)) == 1
-        assert len(looked) <= 6
+        assert len(set(examined)) == 1
+        assert len(examined) <= 6
 
     play(scenario())
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -1,4 +1,4 @@
-"""4,000 machines through the real path: claims within one transaction, a reload page by page."""
+"""4,000 machines: claims stay within the limits of a transaction, and a reload reads all pages."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from petrelthread.state import ClusterState, InternedNames, encode, epoch_base_number
 from petrelthread.store import KEY_PREFIX, StateClient, TokenBucket, WatchCache
 
-MACHINES = 4000
-BODY_MOST = 64 * 1024  # PROTOCOL: of one transaction
-ROUND_BUDGET_S = 10.0  # so that the number of rounds does not depend on this machine
+MACHINE_COUNT = 4000
+MAX_BODY_BYTES = 64 * 1024  # of one transaction, by PROTOCOL
+ROUND_BUDGET_S = 10.0  # long enough that the number of rounds does not depend on the test machine
 
 
-def test_more_starts_than_one_transaction_takes_go_out_in_several() -> None:
+def test_starts_beyond_the_limits_of_one_transaction_are_claimed_in_several_rounds() -> None:
     """2,000 free machines and 4,000 waiting tasks: each claim is within every limit."""
 
     async def main() -> None:
-        leader = PopulatedLeader(MACHINES)
+        leader = PopulatedLeader(MACHINE_COUNT)
         node, state = leader.controller, leader.settings.cluster.state
         node.scheduler.round_budget_s = ROUND_BUDGET_S
-        job = leader.accept(MACHINES, 0)
+        job = leader.accept(MACHINE_COUNT, 0)
         now = asyncio.get_running_loop().time()
         rounds = 0
         while job.pending_count:
@@ -41,7 +41,7 @@
             assert len(conditions) + 3 <= 4 * state.txn_ops
             assert (
                 len(orjson.dumps(protocol.transaction_request(conditions, claim.operations)))
-                <= BODY_MOST
+                <= MAX_BODY_BYTES
             )
             node.scheduler._applier.apply(claim, now)
             rounds += 1
@@ -53,9 +53,9 @@
     asyncio.run(main())
 
 
-def test_a_reload_reads_all_pages_and_knows_what_the_leader_knew() -> None:
+def test_a_reload_of_several_pages_restores_all_attempts_and_scale_out_records() -> None:
     async def main() -> None:
-        leader = PopulatedLeader(MACHINES)
+        leader = PopulatedLeader(MACHINE_COUNT)
         store = StateService(8, lambda key, value, keys: None)
         pages = 0
 
@@ -67,32 +67,34 @@
             status, answer = await store.handle("node", method, target, body)
             return ClientResponse(status, orjson.dumps(answer))
 
-        for number in range(MACHINES):  # a rental record a machine: several pages of keys
-            rented = {"t": "small", "z": "a", "s": True, "n": 1, "at": 1.0}
-            store.put(f"{KEY_PREFIX}c/3-{number}", rented | {"m": [f"host-{number:06d}"]})
-        running = {
+        for number in range(MACHINE_COUNT):  # one record per machine: several pages of keys
+            scale_out = {"t": "small", "z": "a", "s": True, "n": 1, "at": 1.0}
+            store.put(f"{KEY_PREFIX}c/3-{number}", scale_out | {"m": [f"host-{number:06d}"]})
+        recorded_attempts = {
             (attempt.job.id, attempt.task, machine)
-            for machine, there in leader.state.attempts_by_machine.items()
-            for attempt in there.values()
+            for machine, attempts in leader.state.attempts_by_machine.items()
+            for attempt in attempts.values()
         }
         for job in leader.state.jobs:
             store.put(f"{KEY_PREFIX}j/{job.id}", leader.stored(job))
-        for n, (job_id, task, machine) in enumerate(sorted(running)):
+        for n, (job_id, task, machine) in enumerate(sorted(recorded_attempts)):
             name = leader.state.names.machines.name(machine)
             store.put(
                 f"{KEY_PREFIX}r/{epoch_base_number(3) + n + 1}", [[name, 1, [[job_id, [task]]]]]
             )
-        known = ClusterState(InternedNames(["red"], ["a"]))
+        reloaded = ClusterState(InternedNames(["red"], ["a"]))
         client = StateClient(request, "state:1", TokenBucket(1e6, 1e6), TokenBucket(1e6, 1e6))
-        await WatchCache(client, known.on_key, 0.1).load()
-        assert pages >= (MACHINES + len(running)) // 1000
-        assert len(known.scale_out_records) == MACHINES
-        found = {
-            (a.job.id, a.task, known.names.machines.name(machine))
-            for machine, there in known.attempts_by_machine.items()
-            for a in there.values()
+        await WatchCache(client, reloaded.on_key, 0.1).load()
+        assert pages >= (MACHINE_COUNT + len(recorded_attempts)) // 1000
+        assert len(reloaded.scale_out_records) == MACHINE_COUNT
+        reloaded_attempts = {
+            (a.job.id, a.task, reloaded.names.machines.name(machine))
+            for machine, attempts in reloaded.attempts_by_machine.items()
+            for a in attempts.values()
+        }
+        machine_name = leader.state.names.machines.name
+        assert reloaded_attempts == {
+            (job_id, task, machine_name(machine)) for job_id, task, machine in recorded_attempts
         }
-        named = leader.state.names.machines.name
-        assert found == {(job_id, task, named(machine)) for job_id, task, machine in running}
 
     asyncio.run(main())
--- a/tests/test_watch_cache.py
+++ b/tests/test_watch_cache.py
@@ -1,4 +1,4 @@
-"""What a reload of all keys may change."""
+"""What a reload of all keys may change in the watch cache."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 from tests.virtual import play
 
 
-def test_a_reload_undoes_nothing_that_a_watch_showed_meanwhile() -> None:
-    """Its pages were older: a round known by the watch looked dropped, and its starts settled."""
-    told: list[tuple[str, Any]] = []
+def test_a_reload_does_not_undo_changes_that_a_concurrent_watch_showed() -> None:
+    """A reload may read pages that are older than the watch.
+
+    A round record that only the watch had shown looked deleted, so its starts counted as resolved.
+    """
+    changes: list[tuple[str, Any]] = []
 
     async def request(
         addr: str, method: str, target: str, body: Any, timeout: float
     ) -> ClientResponse:
         query = parse_qs(urlsplit(target).query)
         if target.startswith("/keys"):
-            await asyncio.sleep(1.0)  # the page is as old as the request
+            await asyncio.sleep(1.0)  # the page holds the state at the time of the request
             pairs = [{"path": "pt/f/wk-1", "v": "old", "stamp": 3}]
             return ClientResponse(200, orjson.dumps({"pairs": pairs, "more": False, "epoch": 5}))
         assert query["from"] == ["4"]
@@ -37,7 +40,9 @@
         client = StateClient(
             request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0)
         )
-        watch_cache = WatchCache(client, lambda key, value, stamp: told.append((key, value)), 0.1)
+        watch_cache = WatchCache(
+            client, lambda key, value, stamp: changes.append((key, value)), 0.1
+        )
         watch_cache.loaded.set()
         watch_cache.revision, watch_cache.revisions = 4, {"c/1-1": 2}
         began = asyncio.get_running_loop().time()
@@ -45,17 +50,17 @@
         await asyncio.sleep(0.2)
         assert await watch_cache.refresh()
         await reload
-        assert told == [("r/9", []), ("f/wk-1", "done"), ("c/1-1", None)]
+        assert changes == [("r/9", []), ("f/wk-1", "done"), ("c/1-1", None)]
         assert watch_cache.revision == 8
-        assert began + 0.1 < watch_cache.current_as_of < began + 0.5  # not when the old pages came
+        assert began + 0.1 < watch_cache.current_as_of < began + 0.5  # not when the pages arrive
 
     play(main())
 
 
 @pytest.mark.parametrize("fault", ["empty page", "same page again"])
-def test_half_a_reading_is_no_reading(fault: str) -> None:
-    """Taken for all there is, it would make the controller forget what the missing keys hold."""
-    told: list[str] = []
+def test_an_incomplete_reload_raises_and_changes_nothing(fault: str) -> None:
+    """An incomplete set of keys, applied as complete, would delete the missing keys."""
+    changed_keys: list[str] = []
 
     async def request(
         addr: str, method: str, target: str, body: Any, timeout: float
@@ -70,10 +75,10 @@
         client = StateClient(
             request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0)
         )
-        watch_cache = WatchCache(client, lambda key, value, stamp: told.append(key), 0.1)
+        watch_cache = WatchCache(client, lambda key, value, stamp: changed_keys.append(key), 0.1)
         with pytest.raises(StateResultUnknownError, match="goes no further"):
             await watch_cache.load()
-        assert not told
+        assert not changed_keys
         assert not watch_cache.loaded.is_set()
 
     play(main())
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -10,9 +10,11 @@
 from typing import Any
 from unittest import mock
 
-# Which process code runs in, as far as that one may stand still.
+# The simulated process that code runs in, if that process can be paused; empty for all others.
 PROCESS: contextvars.ContextVar[str] = contextvars.ContextVar("process", default="")
-HeldCallback = tuple[list[asyncio.Handle], Callable[..., Any], tuple[Any, ...], contextvars.Context]
+DeferredCallback = tuple[
+    list[asyncio.Handle], Callable[..., Any], tuple[Any, ...], contextvars.Context
+]
 
 MAX_DURATION_S = 1000.0
 WALL_CLOCK_START_S = 1_700_000_000.0
@@ -25,20 +27,20 @@
         events = super().select(0)
         if not events:
             if timeout is None:
-                raise RuntimeError("everything waits for something that will never come")
+                raise RuntimeError("deadlock: no callback is ready and no timer is scheduled")
             self.loop.now += max(timeout, 0.0)
             if self.loop.now > MAX_DURATION_S:
-                raise RuntimeError("the scenario does not end")
+                raise RuntimeError("the scenario exceeds MAX_DURATION_S")
         return events
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Its clock jumps to the next timer; single processes may be paused."""
+    """An event loop in virtual time, in which single simulated processes can be paused."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.paused: set[str] = set()  # processes that stand still while clocks run on
-        self.held: dict[str, list[HeldCallback]] = {}
+        self.paused: set[str] = set()  # processes that run nothing while clocks advance
+        self.deferred: dict[str, list[DeferredCallback]] = {}
         selector = _Selector()
         selector.loop = self
         super().__init__(selector)
@@ -50,29 +52,29 @@
         """What `time.time` returns inside a scenario."""
         return WALL_CLOCK_START_S + self.now
 
-    # What a process that stands still would have run waits, in order, until it goes on.
+    # Callbacks of a paused process are deferred and run in order when it resumes.
 
     def call_soon(  # type: ignore[override]
         self, callback: Any, *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
         context = context or contextvars.copy_context()
-        box: list[asyncio.Handle] = []
-        guarded = self._unless_still(callback, context, box)
-        box.append(super().call_soon(guarded, *args, context=context))
-        return box[0]
+        handle_slot: list[asyncio.Handle] = []
+        pausable = self._defer_while_paused(callback, context, handle_slot)
+        handle_slot.append(super().call_soon(pausable, *args, context=context))
+        return handle_slot[0]
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
         context = context or contextvars.copy_context()
-        box: list[asyncio.Handle] = []
-        guarded = self._unless_still(callback, context, box)
-        handle = super().call_at(when, guarded, *args, context=context)
-        box.append(handle)
+        handle_slot: list[asyncio.Handle] = []
+        pausable = self._defer_while_paused(callback, context, handle_slot)
+        handle = super().call_at(when, pausable, *args, context=context)
+        handle_slot.append(handle)
         return handle
 
-    def _unless_still(
-        self, callback: Any, context: contextvars.Context, box: list[asyncio.Handle]
+    def _defer_while_paused(
+        self, callback: Any, context: contextvars.Context, handle_slot: list[asyncio.Handle]
     ) -> Any:
         process = context.get(PROCESS)
         if not process:
@@ -80,7 +82,7 @@
 
         def run(*args: Any) -> None:
             if process in self.paused:
-                self.held.setdefault(process, []).append((box, callback, args, context))
+                self.deferred.setdefault(process, []).append((handle_slot, callback, args, context))
             else:
                 callback(*args)
 
@@ -88,21 +90,23 @@
 
     def resume(self, process: str) -> None:
         self.paused.discard(process)
-        for box, callback, args, context in self.held.pop(process, []):
-            if box and not box[0].cancelled():
-                super().call_soon(self._resumed(box, callback), *args, context=context)
+        for handle_slot, callback, args, context in self.deferred.pop(process, []):
+            if handle_slot and not handle_slot[0].cancelled():
+                super().call_soon(
+                    self._skip_if_cancelled(handle_slot, callback), *args, context=context
+                )
 
     @staticmethod
-    def _resumed(box: list[asyncio.Handle], callback: Any) -> Any:
+    def _skip_if_cancelled(handle_slot: list[asyncio.Handle], callback: Any) -> Any:
         def run(*args: Any) -> None:
-            if not box[0].cancelled():
+            if not handle_slot[0].cancelled():
                 callback(*args)
 
         return run
 
 
 def play(main: Coroutine[Any, Any, Any]) -> Any:
-    """Run a scenario to its end in virtual time."""
+    """Run a coroutine to its end in virtual time, and return its result."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
