--- a/tests/golden_data.py
+++ b/tests/golden_data.py
@@ -1,7 +1,7 @@
-"""Fixtures of byte formats in ``tests/golden``, and what records traffic to compare with them.
+"""Reads the golden files in ``tests/golden`` and records traffic to compare with them.
 
-A fixture file holds sections of cases, each with its input and what the code makes of it. Names of
-classes, functions and attributes of the code do not occur in them.
+A golden file holds sections of cases, each with its input and expected output. These hold no
+names of classes, functions or attributes of the code.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from tests.simulation import Simulation
 
 DIRECTORY = Path(__file__).parent / "golden"
-FIXTURES: dict[str, Any] = {
+GOLDEN_FILES: dict[str, Any] = {
     path.stem: orjson.loads(path.read_bytes()) for path in sorted(DIRECTORY.glob("*.json"))
 }
 
 
-def cases(file: str, section: str) -> list[str]:
-    return list(FIXTURES[file][section])
+def case_names(file: str, section: str) -> list[str]:
+    return list(GOLDEN_FILES[file][section])
 
 
-def given(file: str, section: str, case: str) -> Any:
-    return FIXTURES[file][section][case]["input"]
+def case_input(file: str, section: str, case: str) -> Any:
+    return GOLDEN_FILES[file][section][case]["input"]
 
 
 def expect(file: str, section: str, case: str, produced: Any, ordered: bool = True) -> None:
-    """Byte for byte. Not ``ordered``: facts read from a message, whose order nobody sends."""
+    """Compare byte for byte; ``ordered=False`` ignores key order, for facts that are not sent."""
     option = 0 if ordered else orjson.OPT_SORT_KEYS
-    expected = orjson.dumps(FIXTURES[file][section][case]["expected"], option=option)
+    expected = orjson.dumps(GOLDEN_FILES[file][section][case]["expected"], option=option)
     assert orjson.dumps(produced, option=option).decode() == expected.decode(), (section, case)
 
 
@@ -45,26 +45,28 @@
     return {"status": response.status, "body": body, "retry_after": response.retry_after_s}
 
 
-class Requester:
-    """Records what is asked and answers with what a fixture says."""
+class ScriptedRequester:
+    """Records requests and answers them with the given replies."""
 
     def __init__(self, *replies: Any) -> None:
-        """``replies``: status and body each; the last one is for all further requests."""
+        """``replies`` are pairs of status and body; the last one answers all further requests."""
         self.replies = list(replies)
-        self.asked: list[dict[str, Any]] = []
+        self.requests: list[dict[str, Any]] = []
 
     async def request(
         self, addr: str, method: str, target: str, body: Any = None, timeout: float = 2.0
     ) -> ClientResponse:
-        sent = orjson.loads(orjson.dumps(body))
-        self.asked.append({"address": addr, "method": method, "target": target, "body": sent})
+        sent_body = orjson.loads(orjson.dumps(body))
+        self.requests.append(
+            {"address": addr, "method": method, "target": target, "body": sent_body}
+        )
         status, answer = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
         await asyncio.sleep(0.01)
         return ClientResponse(status, orjson.dumps(answer))
 
 
 class RecordedHosts(dict[str, RequestHandler]):
-    """Records every request that reaches an address of the network, and its answer."""
+    """Records every request that reaches an address of the network, and its response."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.exchanges: list[dict[str, Any]] = []
@@ -74,11 +76,13 @@
 
     def __setitem__(self, address: str, handler: RequestHandler) -> None:
         async def recorded(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
-            asked = orjson.loads(orjson.dumps(body))
+            request_body = orjson.loads(orjson.dumps(body))
             status, answer = await handler(source, method, target, body)
             exchange = {"from": source, "to": address, "method": method, "target": target}
-            said = orjson.loads(orjson.dumps(answer))
-            self.exchanges.append({**exchange, "body": asked, "status": status, "answer": said})
+            response_body = orjson.loads(orjson.dumps(answer))
+            self.exchanges.append(
+                {**exchange, "body": request_body, "status": status, "answer": response_body}
+            )
             return status, answer
 
         super().__setitem__(address, recorded)
@@ -92,7 +96,7 @@
 
 
 def without_times(value: Any, key: str = "") -> Any:
-    """The same with a marker in place of each decimal number whose name ends in ``_s[_ago]``."""
+    """A copy with a marker for each float whose key ends in ``_s`` or ``_s_ago``."""
     if isinstance(value, dict):
         return {name: without_times(inner, name) for name, inner in value.items()}
     if isinstance(value, list):
@@ -100,36 +104,36 @@
     return "<decimal>" if isinstance(value, float) and key.endswith(("_s", "_s_ago")) else value
 
 
-def template(text: str) -> str:
-    """A target or key without the numbers that tell one from the next."""
+def without_numbers(text: str) -> str:
+    """A request target or stored key with ``#`` for each number that identifies one object."""
     return re.sub(r"(wk-|host-|(?<=[/=-]))\d+(?=[/&-]|$)", r"\1#", text)
 
 
-def structure(value: Any, at: str, found: dict[str, set[str]]) -> None:
-    """Notes by place: the names of each object in order with their types, or the type of a value.
+def collect_structure(value: Any, place: str, found: dict[str, set[str]]) -> None:
+    """Collect by place the keys and value types of each object in order, or the type of a value.
 
-    What the state service keeps under ``v`` is told apart by key elsewhere.
+    The values that the state service stores under ``v`` are compared by stored key elsewhere.
     """
     if isinstance(value, dict):
         names = " ".join(f"{name}:{type(inner).__name__}" for name, inner in value.items())
-        found.setdefault(at, set()).add("{" + names + "}")
+        found.setdefault(place, set()).add("{" + names + "}")
         for name, inner in value.items():
             if name != "v" and isinstance(inner, dict | list):
-                structure(inner, f"{at}.{name}", found)
+                collect_structure(inner, f"{place}.{name}", found)
     elif isinstance(value, list):
         for inner in value:
-            structure(inner, f"{at}[]", found)
+            collect_structure(inner, f"{place}[]", found)
     else:
-        found.setdefault(at, set()).add(type(value).__name__)
+        found.setdefault(place, set()).add(type(value).__name__)
 
 
 def expect_structure(file: str, section: str, found: dict[str, set[str]]) -> None:
-    """Every place that is on file occurs, and nothing occurs that is not on file."""
-    on_file: dict[str, list[str]] = FIXTURES[file][section]
-    assert sorted(found) == sorted(on_file)
-    beyond = {at: sorted(kinds - set(on_file[at])) for at, kinds in found.items()}
-    assert not {at: kinds for at, kinds in beyond.items() if kinds}
+    """Require that all places of the golden file occur, and only structures that it lists."""
+    expected: dict[str, list[str]] = GOLDEN_FILES[file][section]
+    assert sorted(found) == sorted(expected)
+    unexpected = {place: sorted(kinds - set(expected[place])) for place, kinds in found.items()}
+    assert not {place: kinds for place, kinds in unexpected.items() if kinds}
 
 
-def state_client(requester: Requester) -> StateClient:
+def state_client(requester: ScriptedRequester) -> StateClient:
     return StateClient(requester.request, "state:1", TokenBucket(1e6, 1e6), TokenBucket(1e6, 1e6))
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,7 +1,8 @@
-"""What two versions share while one replaces the other: keys, values, greetings, attempt numbers.
+"""Formats shared by two versions during a rolling upgrade.
 
-Golden values as the version in production writes them, read and continued by this code; and this
-code's own values read by a small plain reader of that format.
+These are stored keys and values, peer heartbeats and attempt numbers. Golden values, as the version
+in production writes them, are read by this code, and a small independent reader of that format
+checks what this code writes.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 from tests.simulation import Simulation, job
 from tests.virtual import play
 
-ARRAY = ["red", "batch", 1, 4, 2.0, 0.0, 2.0, "img-1", 1.0, None, None, 4, 5.0, 0.0, 0.0, None]
+ARRAY_JOB = ["red", "batch", 1, 4, 2.0, 0.0, 2.0, "img-1", 1.0, None, None, 4, 5.0, 0.0, 0.0, None]
 GOLDEN: dict[str, Any] = {
-    "j/wk-000001": [*ARRAY, 1_700_000_001.5],
-    "j/wk-000002": [*ARRAY[:9], ["small"], "b", 7, 5.0, 2.0, 1.0, 90.0, 1_700_000_002.25],
-    "j/wk-000003": [*ARRAY, 1_700_000_003.0],
+    "j/wk-000001": [*ARRAY_JOB, 1_700_000_001.5],
+    "j/wk-000002": [*ARRAY_JOB[:9], ["small"], "b", 7, 5.0, 2.0, 1.0, 90.0, 1_700_000_002.25],
+    "j/wk-000003": [*ARRAY_JOB, 1_700_000_003.0],
     "f/wk-000003": "aborted",
     "r/4194305": [["host-000001", 1, [["wk-000001", [0, 1]], ["wk-000003", [2]]]]],
     "r/4194306": [["", 0, [["wk-000001", [1]]]]],
@@ -41,11 +42,11 @@
 }
 
 
-def test_what_production_wrote_is_read() -> None:
-    """A reader sees the keys in the order of their writing (WatchCache.load sorts them)."""
+def test_stored_values_of_the_production_version_are_read() -> None:
+    """Keys are read in the order in which they were written (WatchCache.load sorts them)."""
     cluster_state = ClusterState(InternedNames(["red"], ["a", "b"]))
-    for stamp, (key, value) in enumerate(GOLDEN.items(), 1):
-        cluster_state.on_key(key, value, stamp)
+    for revision, (key, value) in enumerate(GOLDEN.items(), 1):
+        cluster_state.on_key(key, value, revision)
     first, second, third = (cluster_state.jobs_by_id[f"wk-00000{n}"] for n in (1, 2, 3))
     assert (first.task_count, first.spot_allowed, first.spread_zones, first.is_service) == (
         4,
@@ -60,10 +61,10 @@
     assert {task: a.number for task, a in first.live_attempts.items()} == {0: 4194305, 1: 4194305}
     assert [bool(first.live_attempts[n].stop_requested_at) for n in (0, 1)] == [False, True]
     assert cluster_state.recorded_machines() == {"host-000001", "host-000009"}
-    assert 4194305 >> 20 == 4  # the epoch that claimed it
+    assert 4194305 >> 20 == 4  # the epoch of the leader that claimed the attempt
 
 
-SHAPES: dict[str, Any] = {
+SCHEMAS: dict[str, Any] = {
     r"pt/j/wk-\d+": [str, str, int, int, float, float, float, str, float],
     r"pt/f/wk-\d+": str,
     r"pt/r/\d+": list,
@@ -77,26 +78,26 @@
 }
 
 
-def plain_read(key: str, value: Any) -> None:
-    """As the version in production reads it: it fails on what it does not know."""
-    [shape] = [shape for pattern, shape in SHAPES.items() if re.fullmatch(pattern, key)]
-    if isinstance(shape, set):
-        assert set(value) <= shape, (key, value)
-    elif isinstance(shape, list):
+def check_readable_by_production(key: str, value: Any) -> None:
+    """Check a value as the version in production does, which fails on unknown keys and types."""
+    [schema] = [schema for pattern, schema in SCHEMAS.items() if re.fullmatch(pattern, key)]
+    if isinstance(schema, set):
+        assert set(value) <= schema, (key, value)
+    elif isinstance(schema, list):
         assert len(value) == 17, (key, value)
-        assert all(isinstance(v, kind) for v, kind in zip(value, shape, strict=False)), value
+        assert all(isinstance(v, kind) for v, kind in zip(value, schema, strict=False)), value
     else:
-        assert isinstance(value, shape), (key, value)
+        assert isinstance(value, schema), (key, value)
     if key.startswith("pt/r/"):
-        for machine, session, jobs in value:
+        for machine, incarnation, jobs in value:
             assert isinstance(machine, str)
-            assert isinstance(session, int)
+            assert isinstance(incarnation, int)
             assert all(isinstance(n, int) for _, tasks in jobs for n in tasks)
     elif key.startswith("pt/d/"):
         assert all(len(ranges) % 2 == 0 for _, ranges in value)
 
 
-def test_what_this_version_writes_is_read_by_the_one_in_production() -> None:
+def test_stored_values_of_this_version_are_readable_by_the_production_version() -> None:
     async def main() -> None:
         simulation = Simulation()
         simulation.failing_jobs.add("wk-000002")
@@ -107,14 +108,14 @@
         simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(60.0)
         for key, value in simulation.state_service.puts:
-            plain_read(key, value)
+            check_readable_by_production(key, value)
         kinds = {key.split("/")[1] for key, _ in simulation.state_service.puts}
         assert kinds >= {"j", "f", "r", "d", "c", "x", "lead", "epoch", "catalog"}
 
     play(main())
 
 
-def test_records_are_packed_as_before() -> None:
+def test_packed_records_have_the_production_format() -> None:
     entries = [
         Placement("host-2", 1, "wk-1", 3),
         Placement("host-1", 2, "wk-1", 0),
@@ -126,7 +127,7 @@
     assert (encode(finished), rest) == ([["wk-1", [0, 2, 7, 7]]], {})
 
 
-def test_peer_heartbeats_of_both_versions_are_understood() -> None:
+def test_peer_heartbeats_of_the_production_version_are_read_and_its_fields_are_sent() -> None:
     old = b'{"node":"n1","epoch":7,"leading":true,"state_ok":true,"workers":3,"zone":"a"}'
     heartbeat = msgspec.convert(orjson.loads(old), PeerHeartbeat)
     assert (
@@ -140,5 +141,14 @@
         True,
         0.0,
     )
-    known = {"node", "epoch", "leading", "state_ok", "workers", "zone", "asks", "lends"}
-    assert set(msgspec.to_builtins(PeerHeartbeat("n1"))) >= known
+    fields = {
+        "node",
+        "epoch",
+        "leading",
+        "state_ok",
+        "workers",
+        "zone",
+        "asks",
+        "lends",
+    }
+    assert set(msgspec.to_builtins(PeerHeartbeat("n1"))) >= fields
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -1,4 +1,4 @@
-"""Every message, encoded and decoded, byte for byte as on file."""
+"""Every message is encoded and decoded byte for byte as in the golden files."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     WatchCache,
 )
 from tests.golden_data import (
-    FIXTURES,
-    Requester,
-    cases,
+    GOLDEN_FILES,
+    ScriptedRequester,
+    case_input,
+    case_names,
     expect,
-    given,
     response_facts,
     state_client,
 )
@@ -49,54 +49,54 @@
 # ---- users and workers -------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("case", cases("users", "answers about a job"))
-def test_answers_about_a_job(case: str) -> None:
-    produced = protocol.job_response(*given("users", "answers about a job", case))
+@pytest.mark.parametrize("case", case_names("users", "answers about a job"))
+def test_job_responses(case: str) -> None:
+    produced = protocol.job_response(*case_input("users", "answers about a job", case))
     expect("users", "answers about a job", case, produced)
 
 
-@pytest.mark.parametrize("case", cases("users", "malformed submissions"))
-def test_malformed_submissions(case: str) -> None:
-    with pytest.raises(protocol.BadRequestError) as refused:
-        protocol.parse_job(given("users", "malformed submissions", case).encode())
-    expect("users", "malformed submissions", case, str(refused.value))
+@pytest.mark.parametrize("case", case_names("users", "malformed submissions"))
+def test_malformed_submissions_are_rejected(case: str) -> None:
+    with pytest.raises(protocol.BadRequestError) as raised:
+        protocol.parse_job(case_input("users", "malformed submissions", case).encode())
+    expect("users", "malformed submissions", case, str(raised.value))
 
 
-@pytest.mark.parametrize("case", cases("workers", "reports"))
-def test_worker_heartbeats(case: str) -> None:
-    report = protocol.parse_heartbeat(orjson.dumps(given("workers", "reports", case)))
-    tasks = [list(leg.job_and_index) for leg in report.tasks]
-    facts = {"tasks": tasks, "report": msgspec.to_builtins(report)}
+@pytest.mark.parametrize("case", case_names("workers", "reports"))
+def test_worker_heartbeats_are_parsed(case: str) -> None:
+    heartbeat = protocol.parse_heartbeat(orjson.dumps(case_input("workers", "reports", case)))
+    tasks = [list(task.job_and_index) for task in heartbeat.tasks]
+    facts = {"tasks": tasks, "report": msgspec.to_builtins(heartbeat)}
     expect("workers", "reports", case, facts, ordered=False)
 
 
-@pytest.mark.parametrize("case", cases("workers", "malformed reports"))
-def test_malformed_worker_heartbeats(case: str) -> None:
-    with pytest.raises(protocol.BadRequestError) as refused:
-        protocol.parse_heartbeat(given("workers", "malformed reports", case).encode())
-    expect("workers", "malformed reports", case, str(refused.value))
+@pytest.mark.parametrize("case", case_names("workers", "malformed reports"))
+def test_malformed_worker_heartbeats_are_rejected(case: str) -> None:
+    with pytest.raises(protocol.BadRequestError) as raised:
+        protocol.parse_heartbeat(case_input("workers", "malformed reports", case).encode())
+    expect("workers", "malformed reports", case, str(raised.value))
 
 
-def test_commands() -> None:
-    orders: list[protocol.Command] = [
+def test_command_messages() -> None:
+    commands: list[protocol.Command] = [
         protocol.StartCommand(protocol.task_id("wk-000412", 4), 4194307),
         protocol.StopCommand(protocol.task_id("wk-000377", 1), 4194305, 10.0),
         protocol.StopCommand(protocol.task_id("wk-000377", 2), 4194305, 0),
         protocol.ForgetCommand(protocol.task_id("wk-000398", 0), 4194306),
     ]
-    expect("workers", "commands", "answer to a report", protocol.heartbeat_response(4, orders))
+    expect("workers", "commands", "answer to a report", protocol.heartbeat_response(4, commands))
     expect("workers", "commands", "answer without commands", protocol.heartbeat_response(4, []))
-    expect("workers", "commands", "direct", protocol.command_request(4, 2, orders))
+    expect("workers", "commands", "direct", protocol.command_request(4, 2, commands))
     expect("workers", "commands", "sent to another node", protocol.redirect_response("n2"))
     expect("workers", "commands", "sent away", protocol.redirect_response(None))
 
 
-@pytest.mark.parametrize("case", cases("users", "requests before the state is read"))
-def test_requests_before_the_state_is_read(case: str) -> None:
+@pytest.mark.parametrize("case", case_names("users", "requests before the state is read"))
+def test_responses_before_the_state_is_loaded(case: str) -> None:
     async def scenario() -> None:
-        requester = Requester([503, {}])
+        requester = ScriptedRequester([503, {}])
         controller = Controller(settings_of("n0"), requester.request, random.Random(1))
-        method, target, body = given("users", "requests before the state is read", case)
+        method, target, body = case_input("users", "requests before the state is read", case)
         data = b"" if body is None else orjson.dumps(body)
         response = await controller.handle(method, target, data)
         expect("users", "requests before the state is read", case, response_facts(response))
@@ -107,17 +107,19 @@
 # ---- cloud and state service -------------------------------------------------------------------
 
 
-def as_data(value: Any) -> Any:
+def as_json(value: Any) -> Any:
     return orjson.loads(orjson.dumps(msgspec.to_builtins(value)))
 
 
-async def outcome(call: Awaitable[Any], failures: dict[str, type[Exception]]) -> Any:
+async def result_or_failure(call: Awaitable[Any], failures: dict[str, type[Exception]]) -> Any:
     try:
-        return as_data(await call)
+        return as_json(await call)
     except tuple(failures.values()) as error:
-        [says] = [says for says, kind in failures.items() if kind is type(error)]
+        [label] = [label for label, kind in failures.items() if kind is type(error)]
         return (
-            [says, list(error.failed_keys)] if isinstance(error, TransactionConflictError) else says
+            [label, list(error.failed_keys)]
+            if isinstance(error, TransactionConflictError)
+            else label
         )
 
 
@@ -135,14 +137,14 @@
 }
 
 
-@pytest.mark.parametrize("case", cases("cloud", "calls"))
-def test_calls_to_the_cloud(case: str) -> None:
+@pytest.mark.parametrize("case", case_names("cloud", "calls"))
+def test_cloud_requests_and_results(case: str) -> None:
     async def scenario() -> None:
-        name, replies = given("cloud", "calls", case)
-        requester = Requester(*replies)
+        name, replies = case_input("cloud", "calls", case)
+        requester = ScriptedRequester(*replies)
         client = CloudClient(requester.request, "cloud:1", TokenBucket(1e6, 1e6))
-        result = await outcome(CLOUD_CALLS[name](client), CLOUD_FAILURES)
-        expect("cloud", "calls", case, [requester.asked, result])
+        result = await result_or_failure(CLOUD_CALLS[name](client), CLOUD_FAILURES)
+        expect("cloud", "calls", case, [requester.requests, result])
 
     play(scenario())
 
@@ -174,26 +176,26 @@
 }
 
 
-@pytest.mark.parametrize("case", cases("state_service", "calls"))
-def test_calls_to_the_state_service(case: str) -> None:
+@pytest.mark.parametrize("case", case_names("state_service", "calls"))
+def test_state_service_requests_and_results(case: str) -> None:
     async def scenario() -> None:
-        name, reply = given("state_service", "calls", case)
-        requester = Requester(reply)
-        result = await outcome(STATE_CALLS[name](state_client(requester)), STATE_FAILURES)
-        expect("state_service", "calls", case, [requester.asked, result])
+        name, reply = case_input("state_service", "calls", case)
+        requester = ScriptedRequester(reply)
+        result = await result_or_failure(STATE_CALLS[name](state_client(requester)), STATE_FAILURES)
+        expect("state_service", "calls", case, [requester.requests, result])
 
     play(scenario())
 
 
-def test_keys_and_changes_as_read() -> None:
+def test_watch_cache_reports_keys_and_changes_as_read() -> None:
     async def scenario() -> None:
-        replies = given("state_service", "reading", "two pages, then a watch")
-        requester, told = Requester(*replies), []
-        cache = WatchCache(state_client(requester), lambda *key: told.append(list(key)), 0.15)
+        replies = case_input("state_service", "reading", "two pages, then a watch")
+        requester, notified = ScriptedRequester(*replies), []
+        cache = WatchCache(state_client(requester), lambda *key: notified.append(list(key)), 0.15)
         await cache.load()
         assert await cache.refresh()
-        asked = requester.asked
-        expect("state_service", "reading", "two pages, then a watch", [asked, told])
+        requests = requester.requests
+        expect("state_service", "reading", "two pages, then a watch", [requests, notified])
 
     play(scenario())
 
@@ -201,35 +203,37 @@
 # ---- between controllers -----------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("case", cases("peers", "greetings taken in"))
-def test_peer_heartbeats_received(case: str) -> None:
+@pytest.mark.parametrize("case", case_names("peers", "greetings taken in"))
+def test_received_peer_heartbeats_are_recorded_and_answered(case: str) -> None:
     async def scenario() -> None:
-        method, body = given("peers", "greetings taken in", case)
+        method, body = case_input("peers", "greetings taken in", case)
         own = PeerHeartbeat("n0", 7, True, True, 3, "a", 2.5)
         received: list[PeerHeartbeat] = []
-        monitor = PeerMonitor((), Requester().request, lambda: own, received.append, lambda _: 1.5)
+        monitor = PeerMonitor(
+            (), ScriptedRequester().request, lambda: own, received.append, lambda _: 1.5
+        )
         response = response_facts(await monitor.handle(method, orjson.dumps(body)))
-        expect("peers", "greetings taken in", case, [as_data(received), response])
+        expect("peers", "greetings taken in", case, [as_json(received), response])
 
     play(scenario())
 
 
-def test_peer_heartbeats_sent() -> None:
+def test_sent_peer_heartbeats_and_recorded_loans() -> None:
     async def scenario() -> None:
-        requester = Requester(given("peers", "greetings sent", "answered"))
-        lent: list[Any] = []
+        requester = ScriptedRequester(case_input("peers", "greetings sent", "answered"))
+        loans: list[Any] = []
         monitor = PeerMonitor(
             settings_of("n0").siblings[:1],
             requester.request,
             lambda: PeerHeartbeat("n0", 7, False, True, 3, "a", 2.5),
             lambda heartbeat: None,
-            record_loan=lambda lender, amount, asked_at: lent.append([lender, amount]),
+            record_loan=lambda lender, amount, asked_at: loans.append([lender, amount]),
         )
         running = asyncio.ensure_future(monitor.run())
         await asyncio.sleep(0.5)
         running.cancel()
-        heard = as_data(monitor.recent(1.0))
-        expect("peers", "greetings sent", "answered", [requester.asked, heard, lent])
+        recent = as_json(monitor.recent(1.0))
+        expect("peers", "greetings sent", "answered", [requester.requests, recent, loans])
 
     play(scenario())
 
@@ -237,22 +241,22 @@
 # ---- command line ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("case", cases("admin", "command line"))
-def test_command_line(
+@pytest.mark.parametrize("case", case_names("admin", "command line"))
+def test_command_line_requests_and_output(
     case: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    arguments, replies = given("admin", "command line", case)
-    asked: list[Any] = []
+    arguments, replies = case_input("admin", "command line", case)
+    requests: list[Any] = []
 
     class Connection:
         def __init__(self, host: str, port: int, timeout: float) -> None:
-            asked.append([host, port])
+            requests.append([host, port])
 
         def request(self, method: str, path: str, body: bytes | None, headers: Any) -> None:
-            asked.append([method, path, body.decode() if body else None, headers])
+            requests.append([method, path, body.decode() if body else None, headers])
 
         def getresponse(self) -> Connection:
-            self.status, self.answer = replies[len(asked) // 2 - 1]
+            self.status, self.answer = replies[len(requests) // 2 - 1]
             return self
 
         def read(self) -> bytes:
@@ -263,9 +267,9 @@
     printed = capsys.readouterr().out
     if code == 0:
         assert printed == json.dumps(replies[-1][1], indent=2) + "\n"
-    expect("admin", "command line", case, [asked, code, printed.splitlines()])
+    expect("admin", "command line", case, [requests, code, printed.splitlines()])
 
 
-def test_every_fixture_file_is_compared() -> None:
-    partners = ["admin", "cloud", "peers", "state_service", "stored_keys", "users", "workers"]
-    assert sorted(FIXTURES) == partners
+def test_the_set_of_golden_files_is_complete() -> None:
+    expected_files = ["admin", "cloud", "peers", "state_service", "stored_keys", "users", "workers"]
+    assert sorted(GOLDEN_FILES) == expected_files
--- a/tests/test_golden_stored_keys.py
+++ b/tests/test_golden_stored_keys.py
@@ -1,4 +1,4 @@
-"""Every stored key, encoded and decoded, byte for byte as on file."""
+"""Every stored key is encoded and decoded byte for byte as in the golden files."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     pack_round_records,
 )
 from petrelthread.store import WatchCache
-from tests.golden_data import Requester, cases, expect, given, state_client
+from tests.golden_data import ScriptedRequester, case_input, case_names, expect, state_client
 from tests.virtual import play
 
 NOW = 1_700_000_000.123456
 
 
-@pytest.mark.parametrize("case", cases("stored_keys", "submissions"))
-def test_job_description_as_stored(case: str) -> None:
-    spec = protocol.parse_job(orjson.dumps(given("stored_keys", "submissions", case)))
+@pytest.mark.parametrize("case", case_names("stored_keys", "submissions"))
+def test_job_records_are_stored_and_read(case: str) -> None:
+    spec = protocol.parse_job(orjson.dumps(case_input("stored_keys", "submissions", case)))
     record = JobRecord.from_spec(spec, NOW)
     stored = encode(record)
     expect("stored_keys", "submissions", case, stored)
@@ -81,11 +81,11 @@
     ]
 
 
-@pytest.mark.parametrize("case", cases("stored_keys", "keys read"))
-def test_stored_keys_are_read(case: str) -> None:
+@pytest.mark.parametrize("case", case_names("stored_keys", "keys read"))
+def test_stored_keys_are_read_into_the_cluster_state(case: str) -> None:
     cluster_state = ClusterState(InternedNames(["red"], ["a", "b"]))
-    for stamp, (key, value) in enumerate(given("stored_keys", "keys read", case), 1):
-        cluster_state.on_key(key, value, stamp)
+    for revision, (key, value) in enumerate(case_input("stored_keys", "keys read", case), 1):
+        cluster_state.on_key(key, value, revision)
     jobs = {
         job.id: [job.status, job.done_count, job.pending_count]
         + [
@@ -100,9 +100,9 @@
     )
 
 
-@pytest.mark.parametrize("case", cases("stored_keys", "rounds"))
-def test_rounds_as_stored(case: str) -> None:
-    placements, limit = given("stored_keys", "rounds", case)
+@pytest.mark.parametrize("case", case_names("stored_keys", "rounds"))
+def test_round_records_are_stored(case: str) -> None:
+    placements, limit = case_input("stored_keys", "rounds", case)
     expect(
         "stored_keys",
         "rounds",
@@ -111,18 +111,18 @@
     )
 
 
-@pytest.mark.parametrize("case", cases("stored_keys", "finished tasks"))
-def test_finished_tasks_as_stored(case: str) -> None:
-    finished, limit = given("stored_keys", "finished tasks", case)
+@pytest.mark.parametrize("case", case_names("stored_keys", "finished tasks"))
+def test_finished_task_records_are_stored(case: str) -> None:
+    finished, limit = case_input("stored_keys", "finished tasks", case)
     expect("stored_keys", "finished tasks", case, encode(pack_finished_tasks(finished, limit)))
 
 
-def test_leader_and_epoch_as_stored() -> None:
+def test_leader_and_epoch_keys_are_stored_and_read() -> None:
     async def scenario() -> None:
-        replies = given("stored_keys", "election", "won, then the token raised")
-        requester = Requester(*replies)
+        replies = case_input("stored_keys", "election", "won, then the token raised")
+        requester = ScriptedRequester(*replies)
         client = state_client(requester)
-        raised_to: list[int] = []
+        raised_tokens: list[int] = []
 
         class Listener:
             def on_role_changed(self, role: Role) -> None: ...
@@ -130,17 +130,17 @@
             async def on_elected(self) -> None: ...
 
             def on_fencing_token_raised(self, token: int) -> None:
-                raised_to.append(token)
+                raised_tokens.append(token)
 
-        cache = WatchCache(client, lambda key, value, stamp: None, 0.15)
-        randomness = random.Random(1)
-        election = Election("n1", client, cache, 10.0, randomness, Listener())
+        cache = WatchCache(client, lambda key, value, revision: None, 0.15)
+        rng = random.Random(1)
+        election = Election("n1", client, cache, 10.0, rng, Listener())
         election.on_key("epoch", 6, 17)
         await election._campaign()
         await election._token_raiser.write(8)
-        asked = requester.asked
-        expect("stored_keys", "election", "won, then the token raised", [asked, raised_to])
-        leader = given("stored_keys", "election", "another's lead read")
+        requests = requester.requests
+        expect("stored_keys", "election", "won, then the token raised", [requests, raised_tokens])
+        leader = case_input("stored_keys", "election", "another's lead read")
         election.on_key("lead", leader, 99)
         facts = [election.leader_name, election.highest_known_epoch, election.may_answer_workers]
         expect("stored_keys", "election", "another's lead read", facts)
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -1,4 +1,4 @@
-"""Traffic and stored values of whole controllers in virtual time, compared with what is on file."""
+"""Traffic and stored values of controllers in virtual time, compared with the golden files."""
 
 from __future__ import annotations
 
@@ -14,52 +14,52 @@
 from petrelthread.provisioning import ScaleOutRequest
 from tests.golden_data import (
     RecordedHosts,
-    cases,
+    case_input,
+    case_names,
+    collect_structure,
     expect,
     expect_structure,
-    given,
     response_facts,
-    structure,
-    template,
+    without_numbers,
     without_times,
 )
 from tests.simulation import Simulation, job
 from tests.virtual import play
 
 
-async def until(at_s: float) -> None:
+async def sleep_until(at_s: float) -> None:
     await asyncio.sleep(at_s - asyncio.get_running_loop().time())
 
 
 # ---- users -------------------------------------------------------------------------------------
 
 
-def test_requests_of_users() -> None:
-    """In the order of the file; a case on file as awaited is repeated until it comes so."""
+def test_responses_to_user_requests() -> None:
+    """Sent in the order of the file; a case marked as awaited is repeated until it matches."""
 
     async def scenario() -> None:
         simulation = Simulation()
         leader = await simulation.wait_for_leader()
         await asyncio.sleep(3.0)
-        for case in cases("users", "requests"):
-            method, target, body, awaited = given("users", "requests", case)
+        for case in case_names("users", "requests"):
+            method, target, body, awaited = case_input("users", "requests", case)
             if method == "POST" and target == "/v2/runs" and isinstance(body, dict):
                 simulation.jobs.setdefault(str(body.get("name_id")), body)
             data = b"" if body is None else orjson.dumps(body)
-            for tries in range(200):
+            for attempt in range(200):
                 response = await simulation.nodes[leader].handle(method, target, data)
                 facts = response_facts(response)
                 try:
                     expect("users", "requests", case, facts)
                     break
                 except AssertionError:
-                    if not awaited or tries == 199:
+                    if not awaited or attempt == 199:
                         raise
                 await asyncio.sleep(0.3)
-        finals = [
+        final_statuses = [
             [key, value] for key, value in simulation.state_service.puts if key.startswith("pt/f/")
         ]
-        expect("stored_keys", "written", "final states", sorted(finals))
+        expect("stored_keys", "written", "final states", sorted(final_statuses))
 
     play(scenario())
 
@@ -67,13 +67,13 @@
 # ---- workers -----------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("case", cases("workers", "answers to reports"))
-def test_answers_to_heartbeats(case: str) -> None:
+@pytest.mark.parametrize("case", case_names("workers", "answers to reports"))
+def test_responses_to_heartbeats(case: str) -> None:
     async def scenario() -> None:
         simulation = Simulation()
         leader = await simulation.wait_for_leader()
         await asyncio.sleep(3.0)
-        role, method, body = given("workers", "answers to reports", case)
+        role, method, body = case_input("workers", "answers to reports", case)
         asked = leader if role == "leader" else next(n for n in simulation.nodes if n != leader)
         if role == "none leads":
             for name in list(simulation.nodes):
@@ -91,19 +91,19 @@
     play(scenario())
 
 
-# ---- rentals, catalogue, operators' settings ---------------------------------------------------
+# ---- scale-out, scale-in, catalogue, settings --------------------------------------------------
 
 
-def test_scale_out_and_scale_in_as_stored_and_sent() -> None:
+def test_scale_out_and_scale_in_are_stored_and_sent() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         hosts = RecordedHosts(simulation)
         node = simulation.nodes[await simulation.wait_for_leader()]
-        await until(120.0)
+        await sleep_until(120.0)
         names = node.cluster_state.names
-        kind, zone = names.machine_types.index("small"), names.zones.index("b")
+        machine_type, zone = names.machine_types.index("small"), names.zones.index("b")
         now = asyncio.get_running_loop().time()
-        await node.provisioner.scale_out.execute(ScaleOutRequest(kind, zone, True, 2), now)
+        await node.provisioner.scale_out.execute(ScaleOutRequest(machine_type, zone, True, 2), now)
         first = next(iter(node.fleet.machines.values()))
         await node.provisioner.scale_in.execute_all([first], now)
         calls = [[e["method"], e["target"], e["body"]] for e in hosts.matching("POST", "/hosts.*")]
@@ -125,7 +125,7 @@
         simulation = Simulation()
         simulation.cloud.down = True
         simulation.state_service.put(
-            "pt/catalog", given("stored_keys", "catalogue read", "one type")
+            "pt/catalog", case_input("stored_keys", "catalogue read", "one type")
         )
         node = simulation.nodes[await simulation.wait_for_leader()]
         await asyncio.sleep(3.0)
@@ -135,19 +135,19 @@
     play(scenario())
 
 
-def test_settings_of_operators() -> None:
+def test_settings_api() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         node = simulation.nodes[await simulation.wait_for_leader()]
-        await until(120.0)
-        for case in cases("admin", "settings"):
-            method, body = given("admin", "settings", case)
+        await sleep_until(120.0)
+        for case in case_names("admin", "settings"):
+            method, body = case_input("admin", "settings", case)
             data = b"" if body is None else orjson.dumps(body)
             response = await node.handle_peer(method, "/admin/v1/settings", data)
             facts = response_facts(response)
             if case == "get again":
-                shown = facts["body"]["settings"]
-                facts["body"]["settings"] = [knob for knob in shown if knob["set"]]
+                settings = facts["body"]["settings"]
+                facts["body"]["settings"] = [setting for setting in settings if setting["set"]]
             expect("admin", "settings", case, facts)
             await asyncio.sleep(1.0)
             if case == "change":
@@ -165,7 +165,7 @@
 # ---- administration ----------------------------------------------------------------------------
 
 
-def test_administration_and_its_forwarding() -> None:
+def test_admin_responses_and_forwarding_by_a_follower() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         hosts = RecordedHosts(simulation)
@@ -174,9 +174,9 @@
         await simulation.submit(job("wk-000001", 2, team="red"))
         await simulation.submit(job("wk-000002", 2, team="blue", kind="service", priority="prod"))
         await simulation.submit(job("wk-000003", 9, team="guest", kind="group", cores=3.0))
-        await until(125.0)
-        for case in cases("admin", "answers"):
-            asked, method, path = given("admin", "answers", case)
+        await sleep_until(125.0)
+        for case in case_names("admin", "answers"):
+            asked, method, path = case_input("admin", "answers", case)
             node = simulation.nodes[leader if asked == "leader" else follower]
             facts = response_facts(await node.handle_peer(method, f"/admin/v1/{path}", b""))
             expect("admin", "answers", case, without_times(facts))
@@ -190,31 +190,31 @@
     play(scenario())
 
 
-def test_structure_of_a_status_in_trouble() -> None:
-    """Answers are lost, a new leader reaches no worker, a follower has no state service."""
+def test_structure_of_the_status_during_faults() -> None:
+    """Responses are lost, a new leader reaches no worker, a follower has no state service."""
     found: dict[str, set[str]] = {}
     operations: set[str] = set()
 
-    async def look(simulation: Simulation, *names: str) -> None:
+    async def collect_status(simulation: Simulation, *names: str) -> None:
         for name in names:
             target = "/admin/v1/status?direct=1"
             response = await simulation.nodes[name].handle_peer("GET", target, b"")
             status = orjson.loads(response.body)
             operations.update(re.sub(r"\d+", "#", op["operation"]) for op in status["operations"])
-            structure(status, "", found)
+            collect_structure(status, "", found)
 
     async def scenario() -> None:
         simulation = Simulation()
         leader = await simulation.wait_for_leader()
-        lost = ("/hosts", "/do")
+        lost_targets = ("/hosts", "/do")
         simulation.net.delivery_rule = lambda source, addr, method, target, body: (
             0.0,
-            target in lost,
+            target in lost_targets,
         )
         await simulation.submit(job("wk-000001", 6))
         while not any(simulation.checker.machines_by_task.values()):
             await asyncio.sleep(0.5)
-            await look(simulation, leader)
+            await collect_status(simulation, leader)
         simulation.net.partitions |= {
             frozenset((m, n)) for m in simulation.cloud.machines for n in simulation.nodes
         }
@@ -225,14 +225,14 @@
         simulation.net.partitions.add(frozenset((follower, "state")))
         for _ in range(8):
             await asyncio.sleep(1.0)
-            await look(simulation, leader, follower)
+            await collect_status(simulation, leader, follower)
         expect_structure("admin", "structure of a status in trouble", found)
         expect("admin", "operations shown", "of every kind", sorted(operations))
 
     play(scenario())
 
 
-# ---- structure of everything that travels ------------------------------------------------------
+# ---- structure of all traffic ------------------------------------------------------------------
 
 
 def partner_of(address: str) -> str:
@@ -243,11 +243,11 @@
 
 
 def test_structure_of_traffic() -> None:
-    """Tasks that run, fail, end and are cancelled; a service; a leader that ends; returns."""
+    """Covers tasks that complete, fail and are cancelled, a service, a failover and scale-in."""
     found: dict[str, dict[str, set[str]]] = {}
 
-    def note(file: str, at: str, value: Any) -> None:
-        structure(value, at, found.setdefault(file, {}))
+    def collect(file: str, at: str, value: Any) -> None:
+        collect_structure(value, at, found.setdefault(file, {}))
 
     async def scenario() -> None:
         simulation = Simulation()
@@ -267,15 +267,15 @@
         simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(70.0)
         for key, value in simulation.state_service.puts:
-            note("stored_keys", template(key), value)
+            collect("stored_keys", without_numbers(key), value)
         for exchange in hosts.exchanges:
             partner = partner_of(exchange["to"])
             target = exchange["target"]
             if partner == "controller":
                 partner = "workers" if target == "/checkin" else "users"
-            at = f"{exchange['method']} {template(target)}"
-            note(partner, at, exchange["body"])
-            note(partner, f"{at} {exchange['status']}", exchange["answer"])
+            at = f"{exchange['method']} {without_numbers(target)}"
+            collect(partner, at, exchange["body"])
+            collect(partner, f"{at} {exchange['status']}", exchange["answer"])
 
     play(scenario())
     assert len(found) == 6
