--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("case", case_names("users", "answers about a job"))
-def test_job_responses(case: str) -> None:
+def test_job_responses_match_the_golden_file(case: str) -> None:
     produced = protocol.job_response(*case_input("users", "answers about a job", case))
     expect("users", "answers about a job", case, produced)
 
@@ -77,7 +77,7 @@
     expect("workers", "malformed reports", case, str(raised.value))
 
 
-def test_command_messages() -> None:
+def test_command_messages_match_the_golden_file() -> None:
     commands: list[protocol.Command] = [
         protocol.StartCommand(protocol.task_id("wk-000412", 4), 4194307),
         protocol.StopCommand(protocol.task_id("wk-000377", 1), 4194305, 10.0),
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("case", case_names("users", "requests before the state is read"))
-def test_responses_before_the_state_is_loaded(case: str) -> None:
+def test_responses_before_the_state_is_loaded_match_the_golden_file(case: str) -> None:
     async def scenario() -> None:
         requester = ScriptedRequester([503, {}])
         controller = Controller(settings_of("n0"), requester.request, random.Random(1))
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("case", case_names("cloud", "calls"))
-def test_cloud_requests_and_results(case: str) -> None:
+def test_cloud_requests_and_results_match_the_golden_file(case: str) -> None:
     async def scenario() -> None:
         name, replies = case_input("cloud", "calls", case)
         requester = ScriptedRequester(*replies)
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("case", case_names("state_service", "calls"))
-def test_state_service_requests_and_results(case: str) -> None:
+def test_state_service_requests_and_results_match_the_golden_file(case: str) -> None:
     async def scenario() -> None:
         name, reply = case_input("state_service", "calls", case)
         requester = ScriptedRequester(reply)
@@ -218,7 +218,7 @@
     play(scenario())
 
 
-def test_sent_peer_heartbeats_and_recorded_loans() -> None:
+def test_sent_peer_heartbeats_and_recorded_loans_match_the_golden_file() -> None:
     async def scenario() -> None:
         requester = ScriptedRequester(case_input("peers", "greetings sent", "answered"))
         loans: list[Any] = []
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("case", case_names("admin", "command line"))
-def test_command_line_requests_and_output(
+def test_command_line_requests_and_output_match_the_golden_file(
     case: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     arguments, replies = case_input("admin", "command line", case)
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -34,7 +34,7 @@
 # ---- users -------------------------------------------------------------------------------------
 
 
-def test_responses_to_user_requests() -> None:
+def test_responses_to_user_requests_match_the_golden_file() -> None:
     """Sent in the order of the file; a case marked as awaited is repeated until it matches."""
 
     async def scenario() -> None:
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("case", case_names("workers", "answers to reports"))
-def test_responses_to_heartbeats(case: str) -> None:
+def test_responses_to_heartbeats_match_the_golden_file(case: str) -> None:
     async def scenario() -> None:
         simulation = Simulation()
         leader = await simulation.wait_for_leader()
@@ -135,7 +135,7 @@
     play(scenario())
 
 
-def test_settings_api() -> None:
+def test_settings_responses_and_stored_options_match_the_golden_file() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         node = simulation.nodes[await simulation.wait_for_leader()]
@@ -165,7 +165,7 @@
 # ---- administration ----------------------------------------------------------------------------
 
 
-def test_admin_responses_and_forwarding_by_a_follower() -> None:
+def test_admin_responses_and_forwarding_by_a_follower_match_the_golden_file() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         hosts = RecordedHosts(simulation)
@@ -190,7 +190,7 @@
     play(scenario())
 
 
-def test_structure_of_the_status_during_faults() -> None:
+def test_structure_of_the_status_during_faults_matches_the_golden_file() -> None:
     """Responses are lost, a new leader reaches no worker, a follower has no state service."""
     found: dict[str, set[str]] = {}
     operations: set[str] = set()
@@ -242,7 +242,7 @@
     return {"1": "controller", "2": "peers", "9": "workers"}[port]
 
 
-def test_structure_of_traffic() -> None:
+def test_structure_of_traffic_matches_the_golden_file() -> None:
     """Covers tasks that complete, fail and are cancelled, a service, a failover and scale-in."""
     found: dict[str, dict[str, set[str]]] = {}
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -94,7 +94,7 @@
     assert simulation.checker.start_count == 3 + 8
 
 
-def test_a_service_is_refused_exactly_when_it_exceeds_its_teams_limit() -> None:
+def test_a_service_is_accepted_up_to_its_teams_limit_and_refused_beyond() -> None:
     async def scenario(simulation: Simulation) -> None:
         await simulation.wait_for_leader()
         await asyncio.sleep(1.0)
