--- a/petrelthread/scheduling/bin_packing.py
+++ b/petrelthread/scheduling/bin_packing.py
@@ -56,7 +56,7 @@
     Args:
         requests: placement requests in scheduling order.
         index: the machines that may be used; changed in place.
-        quotas: what each team may still use, by team index; changed in place.
+        quotas: quota headroom by team index; changed in place.
         first_position: position of the request to place first; those before it come last.
         expired: whether the time budget has run out; the first request is always examined.
     """
--- a/petrelthread/scheduling/capacity_index.py
+++ b/petrelthread/scheduling/capacity_index.py
@@ -52,7 +52,7 @@
                 del self.by_image[image]
 
     def count_with_cores(self, cores: float) -> int:
-        """Number of machines with so many free cores; they come first in ``by_free_capacity``."""
+        """Number of machines with enough free cores; they come first in ``by_free_capacity``."""
         return self.by_free_capacity.bisect_right((CAPACITY_TOLERANCE - cores, math.inf, 0))
 
 
@@ -71,9 +71,9 @@
     """Free capacity of machines, by machine index.
 
     A round's decisions change a ``MachineCapacity`` in place and call ``reindex``.
-    ``modified_machines`` holds the machines that for this reason differ from the cluster state;
-    ``FreeCapacity`` puts them again after the round. ``examined_count`` counts the machines that
-    queries have examined.
+    ``modified_machines`` holds the machines that therefore differ from the cluster state;
+    ``FreeCapacity`` puts them into the index again after the round. ``examined_count`` counts the
+    machines that queries have examined.
     """
 
     def __init__(self, machines: Iterable[MachineCapacity] = ()) -> None:
@@ -126,7 +126,7 @@
         self.modified_machines.add(machine.machine_index)
 
     def withhold(self, machine_index: int) -> None:
-        """Remove a machine until it is put again; ``modified_machines`` records it."""
+        """Remove a machine until the next ``put``; adds it to ``modified_machines``."""
         self.discard(machine_index)
         self.modified_machines.add(machine_index)
 
--- a/petrelthread/scheduling/claim_applier.py
+++ b/petrelthread/scheduling/claim_applier.py
@@ -57,7 +57,7 @@
             self._cluster_state.apply_finished_tasks(
                 claim.finished_tasks_number, claim.finished_tasks_record
             )
-            self._drop_recorded_tasks(claim.finished_tasks_record)
+            self._discard_recorded_tasks(claim.finished_tasks_record)
         launched = self._apply_starts(claim)
         stopped = [attempt for attempt in claim.stops if attempt.stop_requested_at]
         for attempt in stopped:
@@ -80,8 +80,8 @@
     def _invalidated_starts(self, claim: RoundClaim) -> set[TaskKey]:
         """Job index and task of starts that became invalid while the claim was in flight.
 
-        For example, a heartbeat has shown the task on another machine, or the machine was lost.
-        Such a start stays recorded but is not sent.
+        For example, a heartbeat has listed the task on another machine, or the machine has become
+        unresponsive. Such a start stays recorded but is not sent.
         """
         refused = self._validator.check(claim.starts).refused
         for start, violation in refused:
@@ -121,8 +121,8 @@
         elif key in self._obsolete_keys:
             self._obsolete_keys.remove(key)
 
-    def _drop_recorded_tasks(self, record: FinishedTasksRecord) -> None:
-        """Drop finished tasks that the committed record contains."""
+    def _discard_recorded_tasks(self, record: FinishedTasksRecord) -> None:
+        """Discard finished tasks that the committed record contains."""
         for finished in record:
             job = self._cluster_state.jobs_by_id[finished.job_id]
             tasks = self._fleet.finished_tasks.get(job.index)
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -28,7 +28,7 @@
 FENCING_CONDITIONS = 3  # conditions of every claim: on leader key, epoch and marker
 RESERVED_OPERATIONS = 3  # operations that completed jobs leave for the rest of a transaction
 VALUE_SIZE_SHARE = 0.85  # share of the maximum value size of the state service that is used
-KIB = 1024
+BYTES_PER_KIB = 1024
 
 
 class _FinishedWork(NamedTuple):
@@ -68,7 +68,7 @@
         self._next_record_number = next_record_number
         self.spare_writes = spare_writes
         self._obsolete_keys = obsolete_keys
-        self._max_value_bytes = int(limits.value_kb * KIB * VALUE_SIZE_SHARE)
+        self._max_value_bytes = int(limits.value_kb * BYTES_PER_KIB * VALUE_SIZE_SHARE)
         self._max_operations = limits.txn_ops
 
     def build(self, starts: list[Start], stops: list[Attempt], now: float) -> RoundClaim:
--- a/petrelthread/scheduling/cluster_view.py
+++ b/petrelthread/scheduling/cluster_view.py
@@ -21,8 +21,8 @@
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState, Job
 
-# Share of all cores that can run tasks. The rest are fetching images, are idle until the next round
-# or are too few on their machine for any task.
+# Share of all cores that can run tasks. The other cores wait for images, are idle until the next
+# round, or are too few on their machine for any task.
 USABLE_CORE_SHARE = 0.85
 
 
@@ -57,7 +57,7 @@
         return self._free_capacity
 
     def usable_cores(self) -> float:
-        """Cores that all jobs together can keep busy; infinite if no machine is known."""
+        """Cores that all jobs together can keep busy; infinite if no machine is up or booting."""
         return self.free_capacity().cores() * USABLE_CORE_SHARE or math.inf
 
     def fitting_machine_types(self, request: PlacementRequest) -> frozenset[int]:
@@ -87,7 +87,7 @@
         return self._objectives.has_any(job)
 
     def wave_count(self, job: Job, task_count: int) -> int:
-        """Number of waves that ``task_count`` tasks take if the job uses its team's whole limit."""
+        """Number of waves in which the tasks run if the job uses its team's whole quota."""
         team = self.teams[job.team]
         max_parallel = float(job.task_count)
         if job.cores > 0:
@@ -97,24 +97,24 @@
         return math.ceil(task_count / max(1.0, max_parallel))
 
     def critical_path_s(self, job: Job) -> float:
-        """Lower bound of the remaining time if the job has its team's whole limit to itself."""
+        """Lower bound of the remaining time if the job has its team's whole quota to itself."""
         run_s = self.estimates.run_s(job)
         team = self.teams[job.team]
         finished = len(self._fleet.finished_tasks.get(job.index, ()))
         unfinished = job.task_count - job.done_count - finished
-        limit_share = 0.0
+        quota_share = 0.0
         if job.cores > 0:
-            limit_share = max(limit_share, unfinished * job.cores / team.most_cores)
+            quota_share = max(quota_share, unfinished * job.cores / team.most_cores)
         if job.accelerators > 0:
             share = unfinished * job.accelerators / team.most_accelerators
-            limit_share = max(limit_share, share)
-        return run_s * limit_share
+            quota_share = max(quota_share, share)
+        return run_s * quota_share
 
     def job_order(self) -> list[QueuedJob]:
         """Return the open jobs in scheduling order."""
         entries = []
-        # Of a suspect job, one task at a time is started. It precedes all other jobs, so that a job
-        # whose failures had another cause soon continues. Suspect jobs are not passed to
+        # Only one task of a suspect job is started at a time. Suspect jobs precede all others, so
+        # that a job whose failures had another cause soon continues. They are not passed to
         # ``order_jobs``, so no other job waits for them.
         suspects = []
         for job in self._cluster_state.open_jobs.values():
@@ -190,9 +190,9 @@
         )
 
     def _excluded_machines(self, job: Job) -> frozenset[int]:
-        """Machines on which the job failed; none if they are more than half of those in use."""
+        """Machines on which the job failed; none if they exceed half of those that accept work."""
         failed_on = self._fleet.job_failures.failed_on(job)
         if not failed_on:
             return frozenset()
-        usable = sum(machine.accepts_work for machine in self._fleet.machines.values())
-        return frozenset(failed_on) if 2 * len(failed_on) <= usable else frozenset()
+        accepting = sum(machine.accepts_work for machine in self._fleet.machines.values())
+        return frozenset(failed_on) if 2 * len(failed_on) <= accepting else frozenset()
--- a/petrelthread/scheduling/free_capacity.py
+++ b/petrelthread/scheduling/free_capacity.py
@@ -39,7 +39,7 @@
         self.usable = CapacityIndex()
         self.surplus = CapacityIndex()
         # Type of each machine that accepts work or is booting, and number of these machines by
-        # type. They count even before they acknowledge the present epoch.
+        # type. They count even before they acknowledge the current epoch.
         self._type_by_machine: dict[int, int] = {}
         self._count_by_type: Counter[int] = Counter()
 
@@ -74,7 +74,7 @@
         changed.clear()
 
     def discard_decisions(self) -> None:
-        """Have the next refresh undo a round's changes; only a committed claim takes capacity."""
+        """Make the next refresh undo a round's changes; only a committed claim takes capacity."""
         for index in (self.usable, self.surplus):
             self._cluster_state.usage.changed_machines |= index.modified_machines
             index.modified_machines.clear()
--- a/petrelthread/scheduling/guarantees.py
+++ b/petrelthread/scheduling/guarantees.py
@@ -9,7 +9,7 @@
 
 
 class Guarantee(NamedTuple):
-    """Resources that a team's quota guarantees."""
+    """Resources that the settings guarantee to a team."""
 
     cores: float
     accelerators: float
--- a/petrelthread/scheduling/job_order.py
+++ b/petrelthread/scheduling/job_order.py
@@ -14,9 +14,12 @@
 from petrelthread.scheduling.on_time_selection import CapacityTimeline, reachable_objectives
 from petrelthread.scheduling.queue_entry import QueuedJob, QueueEntry
 
-UNREACHABLE_OBJECTIVE_S = 1e6  # from now; due time of a job that can reach no objective
-LATE_JOB_SLACK_S = 70.0  # from now; latest start of a late job that outlasts the backlog
-MAX_START_DELAY_S = 150.0  # after its acceptance; a job not started by then is overdue
+# Time from now to the due time of a job that can reach no objective.
+UNREACHABLE_OBJECTIVE_S = 1e6
+# Time from now to the latest start of a late job that would outlast the backlog.
+LATE_JOB_SLACK_S = 70.0
+# A job that has not started this long after its acceptance is overdue.
+MAX_START_DELAY_S = 150.0
 
 MIN_SHARED_CORES = 1.0  # assumed for other jobs if services request all cores
 
@@ -36,17 +39,17 @@
 ) -> list[QueuedJob]:
     """The jobs in scheduling order.
 
-    Services come first, regardless of their team's guarantee, because every second without a
-    replica is lost. The others are ordered by guarantee and priority, then by the latest start with
-    which they reach the objective that is planned for them. Jobs that can reach no objective come
-    last, the longest first. A job that has not started has a latest start of at most
+    Services come first, regardless of their team's guarantee, because time without a replica cannot
+    be made up later. The others are ordered by guarantee and priority, then by the latest start
+    with which they reach the objective that is planned for them. Jobs that can reach no objective
+    come last, the longest first. A job that has not started has a latest start of at most
     ``MAX_START_DELAY_S`` after its acceptance and is overdue after that.
 
     Args:
         entries: all unfinished jobs.
-        guarantees: cores and accelerators, by team index.
+        guarantees: guaranteed cores and accelerators, by team index.
         now: wall clock time in seconds.
-        cores: total of all machines.
+        cores: cores that all jobs together can keep busy.
     """
     guaranteed = within_guarantee(entries, guarantees)
     services = sorted(
--- a/petrelthread/scheduling/load_summary.py
+++ b/petrelthread/scheduling/load_summary.py
@@ -14,7 +14,8 @@
 class LoadSummary:
     """Cores by state.
 
-    ``up`` (of which ``cordoned``) and ``booting`` count machines, the others count tasks.
+    ``up`` (of which ``cordoned``) and ``booting`` are sums over machines, the others over tasks.
+    Pending tasks are called ``waiting``, as in the admin views.
     """
 
     up: float = 0.0
@@ -35,7 +36,7 @@
 def summarize_load(
     cluster_state: ClusterState, fleet: Fleet, machine_types: Mapping[int, protocol.MachineType]
 ) -> LoadSummary:
-    """Add up the cores of all machines, attempts and waiting tasks."""
+    """Add up the cores of all machines, attempts and pending tasks."""
     load = LoadSummary()
     _add_machines(load, fleet, machine_types)
     _add_attempts(load, cluster_state)
--- a/petrelthread/scheduling/occupancy.py
+++ b/petrelthread/scheduling/occupancy.py
@@ -12,12 +12,12 @@
 from petrelthread.fleet import Machine
 from petrelthread.state import Job
 
-# Zone of a machine that has neither reported to this leader nor been listed by the cloud.
+# Zone of a machine that has neither sent a heartbeat to this leader nor been listed by the cloud.
 UNKNOWN_ZONE = -1
 
 
 class JobOccupancy:
-    """Number of tasks of one job by zone and by machine, including starts of the present round."""
+    """Number of tasks of one job by zone and by machine, including starts of the current round."""
 
     __slots__ = ("machines", "zones")
 
--- a/petrelthread/scheduling/placement_request.py
+++ b/petrelthread/scheduling/placement_request.py
@@ -26,7 +26,8 @@
         occupancy: tasks by zone and machine; shared by the job's requests, updated by placement.
         excluded_machines: machines on which the job failed.
         all_or_nothing: whether the job is a gang: the round places all pending tasks or none.
-        spread_machines: whether the job is a service; losing one machine should lose few replicas.
+        spread_machines: whether the job is a service, whose replicas are spread over machines so
+            that the loss of one machine affects few of them.
         zone_choice_tasks: number of tasks for which the zone of a single-zone job is chosen if
             ``pending`` is smaller.
     """
--- a/petrelthread/scheduling/preemption_candidates.py
+++ b/petrelthread/scheduling/preemption_candidates.py
@@ -49,7 +49,7 @@
 
 def _is_preemptible(job: Job, wall_now: float) -> bool:
     if job.is_gang or job.is_service:
-        return False  # a gang would lose all its tasks; a replica would be placed first again
+        return False  # a gang would lose all its tasks; a replica would be restarted first
     # The first and only task of a job that started overdue is never preempted. It has just started,
     # so its preemption would cost least and it would be preempted repeatedly.
     is_first_task = len(job.live_attempts) == 1 and not job.done_count
--- a/petrelthread/scheduling/preemption_planner.py
+++ b/petrelthread/scheduling/preemption_planner.py
@@ -1,4 +1,4 @@
-"""Which running tasks a round preempts for jobs that have waited too long."""
+"""Which running tasks a round preempts, for services and for jobs that have waited too long."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
         requests: all requests of the round, in scheduling order.
         guaranteed: by job index, whether the job lies within its team's guarantee.
         placed: by job index, how many of its tasks were placed.
-        quotas: by team index, the headroom that is left of the team's limits.
+        quotas: by team index, the quota headroom that is left.
         usage: by team index, what the team used before the round.
-        capacity: the free capacity that is left; its index of usable machines lacks the reserved.
+        capacity: the free capacity that is left; ``capacity.usable`` lacks the reserved machines.
         reserved: machines that are reserved for overdue jobs.
     """
 
@@ -138,7 +138,7 @@
         return []
 
     def _batch_shortfalls(self, placed_round: PlacedRound) -> Iterator[CapacityShortfall]:
-        """Yield the missing tasks of each batch job for which others may now be preempted."""
+        """Yield the missing tasks of each batch job for which tasks may now be preempted."""
         unattributed = placed_round.placed.copy()
         for request in placed_round.requests:
             job = self._cluster_state.jobs[request.job_index]
@@ -157,8 +157,8 @@
     def _may_preempt_for(self, job: Job, guaranteed: bool) -> bool:
         """Whether the job has waited too long and is guaranteed or of high priority.
 
-        The wait begins with the job's latest start: a job that still gets capacity as it becomes
-        free does not need others to be preempted.
+        The wait begins with the job's most recent start: a job that still gets capacity as it
+        becomes free needs no preemption.
         """
         waiting_s = time.time() - max(job.accepted_at, job.last_start_at)
         if waiting_s < self._preemption_delay_s.get(job.job_class, DEFAULT_PREEMPTION_DELAY_S):
--- a/petrelthread/scheduling/queue_entry.py
+++ b/petrelthread/scheduling/queue_entry.py
@@ -1,4 +1,4 @@
-"""Entries of the job queue: the input of the job order and its result."""
+"""Entries of the job queue: the input and the result of ``order_jobs``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class QueueEntry(NamedTuple):
-    """One unfinished job as input of the job order.
+    """One unfinished job as input of ``order_jobs``.
 
     Attributes:
         job_index: index of the job.
@@ -15,7 +15,7 @@
         accepted_at: wall clock time in seconds.
         objective_times: completion times of its objectives in wall clock seconds, ascending; if one
             can't be reached, the next one counts.
-        critical_path_s: how long it would still take if only its team's quota limited it.
+        critical_path_s: its remaining time if only its team's quota limited it.
         requested_cores: cores of the whole job, finished tasks included.
         requested_accelerators: accelerators of the whole job, finished tasks included.
         run_s: estimated run time of one task.
@@ -54,7 +54,8 @@
         job_index: index of the job.
         guaranteed: whether it lies within its team's guarantee.
         due_at: time of the objective that it is planned to reach, in wall clock seconds.
-        overdue: whether it should have started; one of its tasks is placed before all others.
+        overdue: whether it has waited longer than ``MAX_START_DELAY_S`` for its first start; one of
+            its tasks is placed before all others.
     """
 
     job_index: int
--- a/petrelthread/scheduling/replica_preemption.py
+++ b/petrelthread/scheduling/replica_preemption.py
@@ -42,7 +42,7 @@
         self._victims = victims_by_machine(victims)
 
     def select_victims(self, shortfall: CapacityShortfall) -> list[Victim]:
-        """Tasks to preempt for one service's replicas; none for replicas that fit without."""
+        """Tasks to preempt for one service's replicas; none for a replica that fits already."""
         request = shortfall.request
         occupancy = request.occupancy.copy()
         victims: list[Victim] = []
--- a/petrelthread/scheduling/reservations.py
+++ b/petrelthread/scheduling/reservations.py
@@ -28,7 +28,7 @@
         requests: those of the overdue jobs, in scheduling order.
         index: the machines that may be used.
         fitting_machine_types: returns the machine types on which a task fits if they are empty.
-        quotas: what each team may still use, by team index.
+        quotas: quota headroom by team index.
         previous: earlier reservations; each is kept as long as its machine is suitable.
 
     Returns:
--- a/petrelthread/scheduling/round_claim.py
+++ b/petrelthread/scheduling/round_claim.py
@@ -25,8 +25,8 @@
     Attributes:
         stops: attempts to stop.
         operations: operations of the transaction.
-        absent_keys: keys that must not exist when it is applied, without the common prefix.
-        marker: key whose existence proves that it was applied, without the common prefix.
+        absent_keys: keys that must not exist when it is committed, without the common prefix.
+        marker: key whose existence proves that it was committed, without the common prefix.
         completed: jobs that are recorded as complete.
         finished_tasks_number: number of the record of finished tasks; 0 if there is none.
         finished_tasks_record: finished tasks of jobs that are not complete.
--- a/petrelthread/scheduling/round_planner.py
+++ b/petrelthread/scheduling/round_planner.py
@@ -63,7 +63,7 @@
         self._cluster_state = cluster_state
         self._fleet = fleet
         self._view = view
-        self._preemptions = PreemptionPlanner(settings, cluster_state, fleet)
+        self._preemption_planner = PreemptionPlanner(settings, cluster_state, fleet)
         self._resume_position = 0  # position of the request that the next round places first
         self.reserved_machines: dict[int, int] = {}
 
@@ -111,7 +111,7 @@
             capacity=capacity,
             reserved=reserved,
         )
-        return RoundDecision(starts, self._preemptions.plan(placed_round, now))
+        return RoundDecision(starts, self._preemption_planner.plan(placed_round, now))
 
     # ---- requests -----------------------------------------------------------------------------
 
@@ -148,7 +148,7 @@
             requests.regular.append(request)
 
     def _quota_headroom(self, usage: list[TeamUsage]) -> list[QuotaHeadroom]:
-        """Compute the quota that each team has left, by team index."""
+        """Compute the quota headroom of each team, by team index."""
         return [
             QuotaHeadroom(team.most_cores - used.cores, team.most_accelerators - used.accelerators)
             for team, used in zip(self._view.teams, usage, strict=False)
@@ -181,7 +181,7 @@
         quotas: list[QuotaHeadroom],
         budget_s: float,
     ) -> PlacementResult:
-        """Place requests on usable machines, then the unplaced tasks on surplus machines."""
+        """Place requests on usable machines, then the unplaced tasks on cordoned spot machines."""
         clock = asyncio.get_running_loop().time
         stop_at = clock() + budget_s
         result = place_requests(
@@ -210,7 +210,7 @@
         return starts
 
     def _startable_tasks(self, job: Job) -> Iterator[int]:
-        """Pending tasks, without those whose end is reported but not recorded yet."""
+        """Pending tasks, without those that are reported finished but not recorded yet."""
         finished = self._fleet.finished_tasks.get(job.index, set())
         return (task for task in job.pending_tasks() if task not in finished)
 
--- a/petrelthread/scheduling/run_time_estimates.py
+++ b/petrelthread/scheduling/run_time_estimates.py
@@ -9,7 +9,7 @@
 DEFAULT_SPREAD = 0.3  # initial standard deviation of the ratio of run time to estimate
 MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of an observed ratio of run time to estimate
 MAX_COUNTED_OBSERVATIONS = 50  # caps the weight of earlier observations in an average
-PRIOR_WEIGHT = 2  # number of observations that the initial values count as
+PRIOR_WEIGHT = 2  # weight of the initial values, in observations
 # Standard deviations by which a job's longest task is expected to exceed the average run time.
 TAIL_DEVIATIONS = 1.5
 MIN_RUN_S = 0.5  # lower bound of the expected run time
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -53,10 +53,10 @@
         Args:
             settings: teams, objectives and limits of the state service.
             cluster_state: jobs, attempts and records.
-            fleet: machines and what their workers reported.
+            fleet: machines and the tasks that their workers reported.
             claims: writes claims.
             dispatcher: sends commands to workers.
-            view: capacity and job order.
+            view: capacity and scheduling order.
             refresh: updates the cluster state from the state service; returns False if the service
                 is unreachable.
             spare_writes: returns how many writes deletions may use, given an event loop time.
@@ -113,7 +113,7 @@
         """Decide what to start and what to preempt; ``now`` is the event loop time."""
         decision = self._planner.decide(now, self.round_budget_s)
         if not decision.is_complete:
-            self.wake.set()  # the next round examines the other requests
+            self.wake.set()  # the next round examines the remaining requests
         return decision
 
     async def run_round(self, now: float) -> bool:
@@ -125,7 +125,8 @@
             return False
         outcome, failed_keys = await self._claim(claim)
         log.debug(
-            "round %s of epoch %d: claim %s; %d starts, %d stops, decided at loop time %.3f s",
+            "round %s of epoch %d: claim %s; %d starts, %d stops, decided at event loop time"
+            " %.3f s",
             claim.marker,
             self._fleet.epoch,
             outcome.value,
@@ -136,8 +137,8 @@
         if outcome is ClaimOutcome.FENCED:
             return False
         if outcome is ClaimOutcome.CONFLICT:
-            # Either a job was cancelled during the claim, or an earlier claim of this leader was
-            # applied without an answer. Only the state service knows which.
+            # Either a job was cancelled while the claim was in flight, or an earlier claim of this
+            # leader was committed without a response. Only the state service knows which.
             log.info("claim rejected; keys with failed conditions: %s", ", ".join(failed_keys))
             return await self._refresh()
         self._applier.apply(claim, now)
@@ -162,8 +163,8 @@
 
         Returns:
             True if the claim is in flight: its result then determines how the record is applied.
-            Treating the record as a late copy of a settled round instead would cancel the round
-            just before its claim is known to be committed.
+            Treating the record as a late copy of a settled round instead would release the round's
+            attempts just before its claim is known to be committed.
         """
         if number not in self._records_in_flight:
             return False
@@ -171,9 +172,9 @@
         return True
 
     def _apply_unsent_record(self, number: int, entries: list[Any], outcome: ClaimOutcome) -> None:
-        """Apply a record that a watch has shown although its claim did not end as committed.
+        """Apply a record that a watch has shown although its claim is not known to be committed.
 
-        Nothing of the record was sent.
+        No command of the record was sent.
         """
         if outcome is ClaimOutcome.FENCED:
             # The epoch of the claim has ended: the record is applied as on any other controller.
--- a/petrelthread/scheduling/spot_reclaim.py
+++ b/petrelthread/scheduling/spot_reclaim.py
@@ -9,7 +9,7 @@
 
 
 def attempts_cut_short(fleet: Fleet, estimates: RunTimeEstimates, now: float) -> list[Attempt]:
-    """Attempts that cannot finish before their machine is reclaimed.
+    """Attempts that are not expected to finish before their machine is reclaimed.
 
     Removes terminated machines from ``fleet.machines_with_notice``.
     """
@@ -19,11 +19,11 @@
             del fleet.machines_with_notice[machine.index]
         if machine.health is not Health.DRAINING or machine.spot_notice_s is None:
             continue
-        left_s = machine.spot_notice_s - (now - machine.spot_notice_at)
+        reclaim_in_s = machine.spot_notice_s - (now - machine.spot_notice_at)
         for attempt in fleet.attempts_on(machine).values():
             if attempt.has_exited or attempt.stop_requested_at:
                 continue
-            if _remaining_run_s(attempt, estimates, now) > max(left_s, 0.0):
+            if _remaining_run_s(attempt, estimates, now) > max(reclaim_in_s, 0.0):
                 attempts.append(attempt)
     return attempts
 
--- a/petrelthread/scheduling/start_validator.py
+++ b/petrelthread/scheduling/start_validator.py
@@ -35,7 +35,7 @@
     ZONE = "the job does not allow the machine's zone"
     SINGLE_ZONE = "other tasks of the job are, or may be, in another zone"
     SPREAD = "half of the job's tasks are, or may be, in that zone already"
-    TEAM_LIMIT = "the team would exceed its limit"
+    TEAM_QUOTA = "the team would exceed its limit"
     GANG = "another task of the same gang may not start"
 
 
@@ -170,7 +170,7 @@
             cores > team.most_cores + CAPACITY_TOLERANCE
             or accelerators > team.most_accelerators + CAPACITY_TOLERANCE
         ):
-            return Violation.TEAM_LIMIT
+            return Violation.TEAM_QUOTA
         return None
 
     def _occupancy(self, job: Job, usage: _AdmittedUsage) -> JobOccupancy:
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -28,7 +28,7 @@
 
 
 def heartbeat_of(machine: str, zone: str, running: list[str]) -> protocol.WorkerHeartbeat:
-    """A worker's heartbeat in this epoch that shows the tasks in ``running`` as attempt 7."""
+    """A worker's heartbeat in this epoch that lists the tasks in ``running`` as attempt 7."""
     legs = [{"leg": leg, "try": 7, "status": "running"} for leg in running]
     body: dict[str, Any] = {
         "perch": machine,
@@ -54,10 +54,10 @@
 
 
 @cluster_test
-async def test_start_is_not_sent_if_heartbeat_shows_task_on_other_machine(
+async def test_start_is_not_sent_if_heartbeat_lists_task_on_other_machine(
     cluster: Cluster,
 ) -> None:
-    """The committed record must not replace the attempt that the heartbeat has shown."""
+    """The committed record must not replace the attempt that the heartbeat lists."""
     cluster.machine(1, "a")
     other = cluster.machine(2, "b", taken_cores=4.0)
     accepted = cluster.accept(job(JOB, 2, cores=1.0))
@@ -69,7 +69,7 @@
 
 
 @cluster_test
-async def test_single_zone_start_is_not_sent_if_heartbeat_shows_other_zone(
+async def test_single_zone_start_is_not_sent_if_heartbeat_lists_task_in_other_zone(
     cluster: Cluster,
 ) -> None:
     cluster.machine(1, "a")
@@ -82,23 +82,23 @@
 
 
 @cluster_test
-async def test_start_is_not_sent_if_machine_or_job_is_lost_during_claim(
+async def test_start_is_not_sent_if_machine_is_unresponsive_or_job_is_cancelled(
     cluster: Cluster,
 ) -> None:
-    lost = cluster.machine(1, "a")
+    unresponsive = cluster.machine(1, "a")
     cluster.machine(2, "b")
     cluster.accept(job(JOB, 8, cores=1.0))
     cluster.accept(job("wk-000002", 1, cores=0.5, ram_gb=0.5, team="guest"))
 
-    def meanwhile() -> None:
-        lost.transition(Health.UNRESPONSIVE)
+    def during_claim() -> None:
+        unresponsive.transition(Health.UNRESPONSIVE)
         cluster.cluster_state.set_final_status("wk-000002", protocol.JobStatus.CANCELLED)
 
-    cluster.claims.meanwhile = meanwhile
+    cluster.claims.meanwhile = during_claim
     await cluster.scheduler.run_round(now())
     assert {machine for _, machine in launched(cluster)} == {"host-000002"}
     assert all(a.job.id == JOB for a in cluster.dispatcher.launched)
-    assert lost.index not in cluster.cluster_state.attempts_by_machine
+    assert unresponsive.index not in cluster.cluster_state.attempts_by_machine
 
 
 def gang_starts(cluster: Cluster, job_id: str, machines: range) -> list[Start]:
@@ -107,14 +107,14 @@
     return [Start(accepted, n, cluster.machine(m, "a")) for n, m in enumerate(machines)]
 
 
-@pytest.mark.parametrize("jobs_done", [False, True], ids=["starts alone", "after ends of jobs"])
+@pytest.mark.parametrize("jobs_completed", [False, True], ids=["starts alone", "completed jobs"])
 @cluster_test
-async def test_claim_records_whole_gang_or_nothing(cluster: Cluster, jobs_done: bool) -> None:
+async def test_claim_records_whole_gang_or_nothing(cluster: Cluster, jobs_completed: bool) -> None:
     """The size limits of a transaction must not split a gang over two claims."""
-    if jobs_done:  # completed jobs leave fewer operations for the records
+    if jobs_completed:  # completed jobs leave fewer operations for the records
         for number in range(6):
-            done = cluster.accept(job(f"wk-5{number:05d}", 1))
-            cluster.fleet.finished_tasks[done.index] = {0}
+            completed = cluster.accept(job(f"wk-5{number:05d}", 1))
+            cluster.fleet.finished_tasks[completed.index] = {0}
     cluster.builder._max_value_bytes = 250  # a gang needs several records of this size
     first = gang_starts(cluster, "wk-000001", range(1, 10))
     second = gang_starts(cluster, "wk-000002", range(11, 60))
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -59,7 +59,7 @@
         if machine_type is None or not cluster.fleet.is_schedulable(machine):
             continue
         live = [a for a in cluster.fleet.attempts_on(machine).values() if not a.has_exited]
-        state = CapacitySnapshot(
+        snapshot = CapacitySnapshot(
             machine.machine_type,
             machine.zone,
             machine.spot,
@@ -69,9 +69,9 @@
             frozenset({*machine.images, *(a.job.image for a in live)}),
         )
         if not machine.cordoned:
-            usable[machine.index] = state
+            usable[machine.index] = snapshot
         elif machine.spot:
-            surplus[machine.index] = state
+            surplus[machine.index] = snapshot
     return usable, surplus
 
 
@@ -159,7 +159,7 @@
                 machine.use_image(self.random.randrange(9), 3.0, 10.0)
 
     def fail_over(self) -> None:
-        """Fail over, in 3 % of calls; this drops one in three machines, which are not recorded."""
+        """Start a new epoch in 3 % of calls; a third of the machines, not recorded, are dropped."""
         if self.random.random() < 0.03:
             keep = [m.name for m in self.cluster.fleet.machines.values() if m.index % 3]
             self.cluster.fleet.fail_over(self.cluster.fleet.epoch + 1, now(), keep)
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("seed", range(100))
 def test_rolled_back_gang_does_not_change_later_placements(seed: int) -> None:
-    """Placement after the roll-back of a gang that can't be placed equals the model's."""
+    """Placement after the rollback of a gang that can't be placed equals the model's."""
     requests, machines, quotas = random_case(seed)
     expected = model(*random_case(seed))
     index = CapacityIndex(machines)
--- a/petrelthread/scheduling/test_job_order.py
+++ b/petrelthread/scheduling/test_job_order.py
@@ -1,4 +1,4 @@
-"""The job order: its rules, a comparison with exhaustive search, and the maximum wait."""
+"""The scheduling order: its rules, a comparison with exhaustive search, and the maximum wait."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         started_entry(2, 2, 2, 12.0, [300.0], 5.0),
         started_entry(3, 3, 0, 13.0, [], 5.0)._replace(requested_cores=4.0),  # guaranteed
         started_entry(4, 4, 2, 1.0, [600.0], 350.0),  # long: has to start by 250
-        started_entry(5, 5, 2, 1.0, [30.0], 90.0),  # late anyway
+        started_entry(5, 5, 2, 1.0, [30.0], 90.0),  # late in any order
     ]
     order = order_jobs(jobs, [Guarantee(8.0, 0.0)] * 6, 20.0, CORES)
     assert [queued.job_index for queued in order] == [3, 4, 2, 1, 5, 0]
@@ -50,14 +50,14 @@
 
 
 def test_late_job_that_outlasts_backlog_runs_alongside_it() -> None:
-    """In last place, it would run alone on nearly empty machines after the backlog is done."""
+    """In last place, it would run alone on nearly empty machines after the backlog is complete."""
     jobs = [
         started_entry(0, 0, 1, 0.0, [300.0], 5.0)._replace(remaining_core_s=1000.0),
         started_entry(1, 1, 1, 0.0, [100.0], 216.0)._replace(remaining_core_s=500.0),
         started_entry(2, 2, 1, 0.0, [50.0], 90.0)._replace(remaining_core_s=500.0),
         started_entry(3, 3, 1, 0.0, [80.0], 20.0),  # has to start within 40 s
     ]
-    order = order_jobs(jobs, [Guarantee(8.0, 0.0)] * 4, 20.0, CORES)  # all done in 200 s
+    order = order_jobs(jobs, [Guarantee(8.0, 0.0)] * 4, 20.0, CORES)  # all complete in 200 s
     assert [queued.job_index for queued in order] == [3, 1, 0, 2]
 
 
@@ -75,7 +75,7 @@
 def test_earlier_jobs_of_team_count_against_its_guarantee() -> None:
     jobs = [
         started_entry(0, 0, 1, 1.0, [], 1.0)._replace(requested_cores=6.0),
-        started_entry(1, 0, 1, 2.0, [], 1.0)._replace(requested_cores=4.0),  # not with the first
+        started_entry(1, 0, 1, 2.0, [], 1.0)._replace(requested_cores=4.0),  # exceeds it
         started_entry(2, 0, 1, 3.0, [], 1.0)._replace(requested_cores=2.0),
     ]
     order = order_jobs(jobs, [Guarantee(8.0, 0.0)], 0.0)
@@ -147,8 +147,8 @@
     guarantees = [Guarantee(0.0, 0.0)] * 2
     large = QueueEntry(0, 0, 1, 0.0, (90.0,), 60.0, 500.0, 0.0, 10.0, 0.0, 10.0, 5000.0)
     for now in (10.0, MAX_START_DELAY_S - 1, MAX_START_DELAY_S + 1, 200.0):
-        fresh = QueueEntry(1, 1, 2, now, (now + 50.0,), 5.0, 50.0, 0.0, 5.0, 0.0, 10.0, 100.0)
-        order = order_jobs([large, fresh], guarantees, now, CORES)
+        small_job = QueueEntry(1, 1, 2, now, (now + 50.0,), 5.0, 50.0, 0.0, 5.0, 0.0, 10.0, 100.0)
+        order = order_jobs([large, small_job], guarantees, now, CORES)
         assert [queued.job_index for queued in order] == [1, 0]  # priority decides the order
         assert order[1].overdue == (now > MAX_START_DELAY_S)  # one task is placed first
     started = large._replace(started=True)
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -51,7 +51,7 @@
 
 @cluster_test
 def test_finished_task_that_is_not_recorded_is_not_started_again(cluster: Cluster) -> None:
-    """The job counts a finished task as pending until its end is recorded."""
+    """The job counts a finished task as pending until it is recorded as finished."""
     cluster.machine(1, "a")
     accepted = cluster.accept(job("wk-000001", 3, cores=1.0))
     cluster.fleet.finished_tasks[accepted.index] = {0, 2}
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -25,7 +25,7 @@
         self.job: Job = cluster.accept(job("wk-000001", 4, cores=1.0, **spec))
 
     def refused(self, *starts: tuple[int, str]) -> list[tuple[int, Violation]]:
-        """The violations that are found in starts given as task and zone."""
+        """The violations found in starts, each given as task and zone of the machine."""
         decided = [Start(self.job, task, self.machines[zone]) for task, zone in starts]
         _, refused = self.cluster.check.admit(decided)
         return [(start.task, violation) for start, violation in refused]
@@ -73,7 +73,7 @@
     assert case.refused((2, A)) == [(2, violation)]
     del cluster.fleet.machines[unlisted.index]
     assert case.refused((2, B)) == [(2, violation)]
-    # The decision itself does not start a task there either.
+    # The scheduler itself decides no start in this state either.
     assert cluster.zones_of_starts("wk-000001") == []
 
 
@@ -93,12 +93,12 @@
 
 
 @cluster_test
-def test_start_beyond_team_limit_is_refused(cluster: Cluster) -> None:
+def test_start_beyond_team_quota_is_refused(cluster: Cluster) -> None:
     case = Case(cluster)
-    limit = int(cluster.settings.cluster.teams[0].most_cores)
-    other = cluster.accept(job("wk-000002", 1, cores=limit - 2.0))
+    quota = int(cluster.settings.cluster.teams[0].most_cores)
+    other = cluster.accept(job("wk-000002", 1, cores=quota - 2.0))
     cluster.cluster_state.add_attempt(1, other, 0, case.machines[A].index, 1)
-    assert case.refused((0, A), (1, A), (2, B)) == [(2, Violation.TEAM_LIMIT)]
+    assert case.refused((0, A), (1, A), (2, B)) == [(2, Violation.TEAM_QUOTA)]
 
 
 @cluster_test
--- a/petrelthread/scheduling/victim_selection.py
+++ b/petrelthread/scheduling/victim_selection.py
@@ -31,7 +31,7 @@
         cores_over_guarantee: cores that each team uses beyond its guarantee, by team index.
 
     Returns:
-        The victims; empty if the task fits without preemption, None if it fits in no case.
+        The victims; empty if the task fits without preemption, None if preemption is not enough.
     """
     request = shortfall.request
     cores, accelerators, ram_gb = machine.cores, machine.accelerators, machine.ram_gb
--- a/petrelthread/scheduling/zone_rules.py
+++ b/petrelthread/scheduling/zone_rules.py
@@ -11,7 +11,7 @@
 
 
 def zone_headroom(request: PlacementRequest) -> Callable[[int], int]:
-    """Return a function from a zone to the number of further tasks that it may get."""
+    """Return a function from a zone to the number of further tasks that the zone may get."""
 
     def headroom(zone: int) -> int:
         if request.single_zone and not request.occupancy.is_confined_to((zone,)):
