--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -25,8 +25,8 @@
 log = logging.getLogger(__name__)
 
 RESPONSE_TIMEOUT_S = 2.0
-# With these, the worker has executed all commands of the request, or none. Otherwise their effect
-# is unknown.
+# With one of these statuses, the worker has executed all commands of the request, or none. With any
+# other, it is unknown which commands it has executed.
 KNOWN_OUTCOMES = (HTTPStatus.OK, HTTPStatus.CONFLICT)
 
 
@@ -75,8 +75,8 @@
             machine = self._fleet.machines.get(index)
             if machine is None or not machine.address:
                 continue
-            # A machine whose last command got no response, and that has not reported since, gets
-            # its commands with the response to its next heartbeat. Unreachable machines would
+            # A machine whose last command got no response, and that has sent no heartbeat since,
+            # gets its commands with the response to its next heartbeat. Unreachable machines would
             # otherwise occupy the slots while others wait.
             if machine.last_message_at >= machine.last_unanswered_at:
                 self._sending.start(self._send(machine, changes, self._fleet.epoch))
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -4,9 +4,9 @@
 
 - *Unresponsive*: the machine sends no heartbeats for too long or responds to no read
   (``FailureDetector.check``), or it responds to no probe (``on_probe``). It gets no new work, and
-  the provisioner returns it. Its tasks may still run, so none of them is started elsewhere yet.
+  the provisioner scales it in. Its tasks may still run, so none of them is started elsewhere yet.
 - *Quarantined*: the machine sends heartbeats, but an asymmetric partition keeps messages from
-  reaching it (``check``). It gets no new work either, and the provisioner returns it.
+  reaching it (``check``). It gets no new work either, and the provisioner scales it in.
 - *Lost*: the worker's lease has certainly expired (``check``, by ``WorkerLeases.expires_at``), or
   the cloud has confirmed the machine's scale-in (``provisioning``). ``Fleet.mark_lost`` ends its
   attempts, and their tasks may start elsewhere. A new incarnation of the worker likewise ends the
@@ -23,13 +23,13 @@
 log = logging.getLogger(__name__)
 
 READ_INTERVAL_S = 2.5  # minimum time between two reads of the same worker by a new leader
-MAX_FAILED_READS = 2  # consecutive; then the heartbeat timeout is not awaited
-# A heartbeat is overdue after so many heartbeat intervals plus the longest transit time.
+MAX_FAILED_READS = 2  # consecutive failed reads after which the heartbeat timeout is not awaited
+# A heartbeat is overdue after this many heartbeat intervals plus the longest transit time.
 OVERDUE_AFTER_INTERVALS = 1.25
 MAX_HEARTBEAT_TRANSIT_S = 0.75
-MAX_FAILED_PROBES = 2  # consecutive; then the machine's replicas are replaced elsewhere
+MAX_FAILED_PROBES = 2  # consecutive failed probes after which a machine's replicas are replaced
 FIND_LEADER_S = 4.0  # added to the timeout of workers not yet answered by this leader
-ALWAYS_CREDIBLE_OVERDUE = 2  # up to so many overdue machines never suggest a fault of this node
+MAX_INDEPENDENT_OVERDUE = 2  # up to this many overdue machines suggest no controller fault
 
 
 class FailureDetector:
@@ -61,7 +61,7 @@
                 continue
             if machine.partition_reason:
                 partitioned.append(machine)
-        # If most machines seem to be partitioned, the fault is probably on this node.
+        # If most machines seem to be partitioned, the fault is probably on this controller's side.
         if 2 * len(partitioned) <= max(2, up_count):
             for machine in partitioned:
                 self._quarantine_if_persistent(machine, now)
@@ -166,14 +166,14 @@
     def _overdue(self, now: float) -> list[Machine]:
         """Return the machines that are UP and whose heartbeat is overdue.
 
-        The list is empty if most are overdue: the fault is then probably on this node, and healthy
-        machines would be returned.
+        The list is empty if most are overdue: the fault is then probably on this controller's
+        side, and healthy machines would be scaled in.
         """
         fleet = self._fleet
         limit_s = OVERDUE_AFTER_INTERVALS * fleet.heartbeat_interval_s + MAX_HEARTBEAT_TRANSIT_S
         up = [m for m in fleet.machines.values() if m.health is Health.UP]
         overdue = [m for m in up if now - max(m.last_seen_at, fleet.resumed_at) > limit_s]
-        if len(overdue) > max(ALWAYS_CREDIBLE_OVERDUE, len(up) / 2):
+        if len(overdue) > max(MAX_INDEPENDENT_OVERDUE, len(up) / 2):
             return []
         return [m for m in overdue if m.answered_epoch == fleet.epoch]
 
--- a/petrelthread/fleet/fleet.py
+++ b/petrelthread/fleet/fleet.py
@@ -85,7 +85,7 @@
     def fail_over(self, epoch: int, now: float, recorded_machines: Collection[str] = ()) -> None:
         """Begin this controller's leadership; see ``MachineRegistry.begin_epoch``."""
         self.fencing_token = epoch
-        self.finished_tasks.clear()  # workers report again what is not durable yet
+        self.finished_tasks.clear()  # workers list again what is not recorded yet
         self.job_failures.fail_over(now)
         self.begin_epoch(epoch, now, recorded_machines)
 
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -55,7 +55,7 @@
             return error_response(HTTPStatus.BAD_REQUEST, str(error))
         now = asyncio.get_running_loop().time()
         self._received_at.append(now)
-        self.recent_count(now)
+        self.recent_count(now)  # discards heartbeats that are no longer recent
         self._election.observe_epoch(heartbeat.fencing_token)
         refusal = self._refusal(heartbeat, now)
         if refusal is not None:
@@ -70,10 +70,10 @@
 
         Returns:
             None if the heartbeat is answered, which renews the worker's lease. Otherwise the
-            response to send instead: 421, with the leader's name if another controller leads, if
-            this controller may not answer workers; 503 if the worker's lease has to expire. The
-            latter is the case when a direct start may still reach the machine, and its job was last
-            known to have no final status longer ago than the lease grace period.
+            response to send instead. Its status is 421 if this controller may not answer workers;
+            its body then names the leader, if another controller leads. Its status is 503 if the
+            worker's lease has to expire: a direct start may still reach the machine, and its job
+            was last known to have no final status longer ago than the lease grace period.
         """
         election = self._election
         if not election.may_answer_workers:
--- a/petrelthread/fleet/heartbeat_reconciler.py
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -46,7 +46,7 @@
         """Reconcile a heartbeat with the state.
 
         Args:
-            heartbeat: Sent by the worker on its own, or as its response to a command.
+            heartbeat: Sent by the worker as a request, or as its response to a command.
             now: Event loop time.
             answered: Whether a response is sent that renews the worker's lease.
 
@@ -96,10 +96,10 @@
         epoch = self._registry.epoch
         acknowledges_epoch = heartbeat.fencing_token >= epoch
         if not machine.incarnation or (acknowledges_epoch and answered):
-            # A heartbeat with an older token may be a copy from before the election. A command
-            # response also comes from a worker that reaches no controller, so that its lease
-            # expires. The first heartbeat of a machine always counts, which gives a new worker time
-            # to acknowledge the epoch.
+            # A heartbeat with an older token may be a copy from before the election. A worker that
+            # reaches no controller still responds to commands although its lease expires, so
+            # command responses do not count. The first heartbeat of a machine always counts, which
+            # gives a new worker time to acknowledge the epoch.
             machine.last_seen_at = now
             machine.failed_probes = 0
         if acknowledges_epoch:
@@ -153,7 +153,8 @@
     def _detect_asymmetric_partition(self, machine: Machine, now: float) -> None:
         """Stop scheduling on a machine whose heartbeats arrive but which receives no messages.
 
-        It looks alive and idle, so the scheduler would place one task after another on it.
+        Such a machine looks healthy and idle, so the scheduler would place one task after another
+        on it.
         """
         before = machine.partition_reason
         reason = ""
@@ -165,4 +166,4 @@
         if reason and not before:
             log.info("machine %s: one-way partition suspected: %s", machine.name, reason)
         elif before and not reason:
-            log.info("machine %s: one-way partition over", machine.name)
+            log.info("machine %s: one-way partition no longer suspected", machine.name)
--- a/petrelthread/fleet/job_failures.py
+++ b/petrelthread/fleet/job_failures.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RECORDED_MACHINES = 8  # in the stored record of a suspect job
+MAX_RECORDED_MACHINES = 8  # maximum number in the stored record of a suspect job
 INITIAL_BACKOFF_S = 5.0  # before a failing job is retried; doubled with each further failure
 MAX_BACKOFF_S = 60.0
 
@@ -105,7 +105,7 @@
             job.suspect_since = now
             log.warning(
                 "job %s is suspect: it fails everywhere, on %d machines, and has never completed a"
-                " task; one task at a time is tried until it does or is cancelled",
+                " task; one task at a time is tried until one completes or the job is cancelled",
                 job.id,
                 len(self.failed_on(job)),
             )
--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -15,8 +15,8 @@
     The usual order is BOOTING, UP, TERMINATING, TERMINATED. All changes go through
     ``Machine.transition``, which permits only those in ``TRANSITIONS``. Who sets each state:
 
-    - UP: ``HeartbeatReconciler``, on the first heartbeat. An UNRESPONSIVE machine also has to
-      have acknowledged the present epoch, and the heartbeat has to be answered.
+    - UP: ``HeartbeatReconciler``, on the first heartbeat of a BOOTING machine, or on an answered
+      heartbeat of an UNRESPONSIVE one that has acknowledged the present epoch.
       ``MachineRegistry.begin_epoch`` sets it for BOOTING machines that have attempts.
     - DRAINING: ``HeartbeatReconciler``, when the heartbeat carries a spot termination notice.
     - UNRESPONSIVE: ``FailureDetector`` only.
@@ -121,7 +121,7 @@
     ignored_starts: int = 0  # consecutive heartbeats that lack a start already delivered
     ignored_starts_since: float = 0.0
     partition_reason: str = ""  # why an asymmetric partition is suspected; empty if not
-    quarantine_reason: str = ""  # why the machine must be returned; empty if not
+    quarantine_reason: str = ""  # why the machine must be scaled in; empty if not
     cordoned: bool = False  # surplus capacity: no new work is placed on it for now
 
     images: dict[int, float] = field(default_factory=dict)
@@ -156,15 +156,15 @@
         return self.health is Health.UP and not self.quarantine_reason and not self.partition_reason
 
     def use_image(self, image: int, size_gb: float, cache_gb: float) -> None:
-        """Mark an image as most recently used, and evict the oldest beyond ``cache_gb``."""
+        """Mark an image as most recently used; evict the least recent ones beyond ``cache_gb``."""
         if image not in self.images:
             self.changed_machines.add(self.index)
         self.images.pop(image, None)
         self.images[image] = size_gb
         total = sum(self.images.values())
         while total > cache_gb and len(self.images) > 1:
-            oldest = next(iter(self.images))
-            total -= self.images.pop(oldest)
+            least_recent = next(iter(self.images))
+            total -= self.images.pop(least_recent)
 
     def forget_images(self) -> None:
         """Empty the image cache; a new incarnation of the worker starts without images."""
--- a/petrelthread/fleet/machine_registry.py
+++ b/petrelthread/fleet/machine_registry.py
@@ -59,14 +59,14 @@
         return machine.scale_out_key.startswith(KeyKind.SCALE_OUT.key(f"{self.epoch}-"))
 
     def begin_epoch(self, epoch: int, now: float, recorded_machines: Collection[str]) -> None:
-        """Begin an epoch: drop or reset the machines known before, until their workers report.
+        """Begin an epoch: drop the machines known before, or reset what was observed of them.
 
         Args:
             epoch: The epoch in which this controller has been elected.
             now: Event loop time.
             recorded_machines: Names of machines in records of scale-out and scale-in. Other
-                machines without attempts are dropped, since a former leader may have returned them
-                long ago; those that exist are added again when they report or the cloud lists them.
+                machines without attempts are dropped, since a former leader may have scaled them in
+                long ago; those that exist are added again by a heartbeat or the cloud's list.
         """
         self.epoch = epoch
         self.elected_at = now
@@ -89,7 +89,8 @@
         machine.commands_in_flight = 0
         has_attempts = machine.index in self.cluster_state.attempts_by_machine
         if machine.health is Health.BOOTING and has_attempts:
-            machine.transition(Health.UP)  # it has run work, so missing heartbeats are evidence
+            # It has run work, so missing heartbeats are evidence of a fault.
+            machine.transition(Health.UP)
         for attempt in self.attempts_on(machine).values():
             if attempt.state in (OperationState.CONFIRMED, OperationState.DISPATCHING):
                 transition(attempt, OperationState.UNKNOWN)
--- a/petrelthread/fleet/task_reconciler.py
+++ b/petrelthread/fleet/task_reconciler.py
@@ -179,7 +179,7 @@
     # ---- missing tasks ---------------------------------------------------------------------------
 
     def _reconcile_missing(self, machine: Machine, attempt: Attempt) -> None:
-        """Supersede an attempt that the newest heartbeat lacks, if that proves that it ended."""
+        """Supersede an attempt that the newest heartbeat does not list, if that proves its end."""
         if machine.commands_in_flight or self._unacknowledged_starts.contains(
             machine.index, key_of(attempt)
         ):
@@ -190,7 +190,7 @@
             return
         epoch = self._registry.epoch
         if epoch_of(attempt.number) >= epoch:
-            # A start of this epoch is sent again; one of a newer epoch is up to its own leader.
+            # A start of this epoch is sent again; one of a newer epoch is left to its leader.
             return
         if machine.highest_token >= epoch:
             # The worker rejects the commands of all former leaders.
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -50,11 +50,11 @@
 
     def commanded_tasks(self, machine: Machine) -> list[str]:
         """Reconcile a heartbeat of the machine. Returns the tasks of its response's commands."""
-        report = heartbeat(1, host=machine.name)
-        report.address = machine.name
+        message = heartbeat(1, host=machine.name)
+        message.address = machine.name
         now = asyncio.get_running_loop().time()
-        assert self.fleet.on_heartbeat(report, now, answered=True) is machine
-        commands = CommandPlanner(self.fleet).for_heartbeat(machine, report, now, may_start=True)
+        assert self.fleet.on_heartbeat(message, now, answered=True) is machine
+        commands = CommandPlanner(self.fleet).for_heartbeat(machine, message, now, may_start=True)
         return [command.task_id for command in commands]
 
     async def request(
--- a/petrelthread/fleet/test_failure_attribution.py
+++ b/petrelthread/fleet/test_failure_attribution.py
@@ -14,7 +14,7 @@
     JobHealth,
 )
 
-Event = tuple[str, int, int]  # "failed", "done" or "over" (the job ended); job; machine
+Event = tuple[str, int, int]  # "failed", "done" or "over" (job has final status); job; machine
 
 
 def reference_model(events: list[Event]) -> tuple[set[int], set[int]]:
--- a/petrelthread/fleet/test_failure_detector.py
+++ b/petrelthread/fleet/test_failure_detector.py
@@ -38,7 +38,7 @@
     assert is_unresponsive_at(failure_detector, machine, 105.0)
 
 
-def test_failed_reads_are_ignored_for_idle_or_acknowledged_machine(
+def test_failed_reads_are_ignored_without_attempts_or_after_epoch_is_acknowledged(
     fleet: Fleet, failure_detector: FailureDetector
 ) -> None:
     machine, attempt = add_attempt(fleet, OLD_ATTEMPT)
--- a/petrelthread/fleet/test_machine_registry.py
+++ b/petrelthread/fleet/test_machine_registry.py
@@ -12,5 +12,5 @@
     unrecorded = fleet.get_or_add("host-000003", 100.0)
     fleet.fail_over(EPOCH + 2, 300.0, {"host-000002"})
     assert set(fleet.machines.values()) == {with_attempt, rented}
-    assert rented.registered_at == 300.0  # it may have come up during the failover
+    assert rented.registered_at == 300.0  # it may have booted during the failover
     assert fleet.find(unrecorded.name) is None
--- a/petrelthread/fleet/test_task_reconciler.py
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -34,9 +34,9 @@
     assert not fleet.attempts_on(machine)
 
 
-def test_checkpointed_run_time_is_credited_and_included_in_learned_run_time() -> None:
-    learned: list[float] = []
-    fleet = build_fleet(FleetCallbacks(on_run_time=lambda job, ran_s: learned.append(ran_s)))
+def test_checkpointed_run_time_is_credited_and_included_in_total_run_time() -> None:
+    run_times: list[float] = []
+    fleet = build_fleet(FleetCallbacks(on_run_time=lambda job, ran_s: run_times.append(ran_s)))
     job = fleet.cluster_state.jobs[0]
     job.checkpoint_interval_s, job.grace_period_s = 30.0, 3.0
     assert job.lost_work_s(200.0, stopped=True) == 3.0
@@ -61,7 +61,7 @@
     fleet.on_heartbeat(
         heartbeat(6, tasks=[exited(third.number, "done")], incarnation=2), 340.0, answered=True
     )
-    assert learned == [pytest.approx(200.0)]
+    assert run_times == [pytest.approx(200.0)]
     assert not job.checkpointed_s
     job.checkpoint_interval_s = 0.0
     assert job.lost_work_s(200.0, stopped=True) == 200.0
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -44,7 +44,7 @@
         self.machine, self.attempt = add_attempt(self.fleet, attempt_number(1))
         self.fleet.on_start_sent(self.attempt, self.machine, AT)
 
-    def give_up(self) -> None:
+    def time_out(self) -> None:
         self.starts.on_no_response(self.attempt)
 
     def cancel(self) -> None:
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("evidence", ["token", "incarnation", "lost", "lease"])
 def test_evidence_invalidates_start(sent: SentStart, evidence: str) -> None:
-    sent.give_up()
+    sent.time_out()
     fleet, machine = sent.fleet, sent.machine
     fleet.on_heartbeat(heartbeat(2), AT + 1.0, answered=True)
     sent.starts.expire_leases(AT + LEASE_S)
@@ -86,7 +86,7 @@
 
 
 def test_response_with_same_token_keeps_start_executable_for_another_lease(sent: SentStart) -> None:
-    sent.give_up()
+    sent.time_out()
     sent.starts.on_lease_renewed(sent.machine.index, EPOCH, AT + 8.0)
     sent.starts.expire_leases(AT + 8.0 + LEASE_S)
     assert sent.is_tracked()
@@ -114,7 +114,7 @@
     else:
         sent.attempt.stop_requested_at = AT + 0.5
     assert sent.starts.raise_reason(EPOCH, AT + 1.0) is None  # its response may still come
-    sent.give_up()
+    sent.time_out()
     assert sent.starts.raise_reason(EPOCH, AT + 2.0) is RaiseReason.UNWANTED
     assert sent.starts.raise_reason(EPOCH + 1, AT + 2.0) is None  # the token is higher already
     sent.starts.on_raise_attempted(AT + 2.0)
@@ -126,7 +126,7 @@
 
 def test_token_is_raised_for_wanted_start_once_it_is_stale(sent: SentStart) -> None:
     """Each raise costs a heartbeat of every worker, and wanted starts do no harm until then."""
-    sent.give_up()
+    sent.time_out()
     stale_age_s = STALE_AFTER_LEASES * LEASE_S
     assert sent.starts.raise_reason(EPOCH, AT + stale_age_s - 0.1) is None
     assert sent.starts.raise_reason(EPOCH, AT + stale_age_s + 0.1) is RaiseReason.STALE
@@ -136,7 +136,7 @@
     sent: SentStart,
 ) -> None:
     """A task cancelled while it runs is stopped, and listed until the command is invalid."""
-    sent.give_up()
+    sent.time_out()
     sent.fleet.on_heartbeat(
         heartbeat(2, tasks=[running(sent.attempt.number)]), AT + 1.0, answered=True
     )
@@ -158,7 +158,7 @@
 
 def test_cancelled_start_keeps_its_resources_until_it_is_invalid(sent: SentStart) -> None:
     """Its absence from heartbeats is no evidence while the command may still arrive."""
-    sent.give_up()
+    sent.time_out()
     transition(sent.attempt, OperationState.UNKNOWN)
     sent.cancel()
     for sequence_number, token, tracked in ((2, EPOCH, True), (3, EPOCH + 1, False)):
@@ -170,7 +170,9 @@
         assert bool(sent.fleet.attempts_on(sent.machine)) is tracked
 
 
-def test_no_answer_if_cancelled_start_could_outlast_cancellation_deadline(sent: SentStart) -> None:
+def test_heartbeat_is_not_answered_if_cancelled_start_could_outlast_deadline(
+    sent: SentStart,
+) -> None:
     sent.state_read_at = AT + 3.0  # the job had no final status then
     assert sent.starts.may_answer(sent.machine.index, EPOCH, AT + 4.0)
     sent.cancel()
@@ -184,7 +186,7 @@
 def test_start_past_cancellation_deadline_is_counted_and_logged_once(
     sent: SentStart, caplog: pytest.LogCaptureFixture
 ) -> None:
-    sent.give_up()
+    sent.time_out()
     sent.cancel()
     deadline_s = LEASE_GRACE_S + LEASE_S * 1.002 + 3.0
     with caplog.at_level(logging.ERROR):
--- a/petrelthread/fleet/test_zone_monitor.py
+++ b/petrelthread/fleet/test_zone_monitor.py
@@ -1,4 +1,4 @@
-"""Detection of zones that are cut off."""
+"""Detection of unreachable zones."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return built
 
 
-def test_zone_is_cut_off_only_if_its_controllers_are_unreachable_too(monitor: ZoneMonitor) -> None:
+def test_zone_is_unreachable_only_if_its_controllers_are_too(monitor: ZoneMonitor) -> None:
     stale = machines(8, last_seen_at=100.0)
     assert monitor.update(stale, {1: True}, 0.0, 110.0) == (set(), set())
     assert monitor.update(stale, {1: False}, 0.0, 103.0) == (set(), set())
@@ -31,7 +31,7 @@
 
 
 def test_termination_of_unresponsive_machines_does_not_restore_zone(monitor: ZoneMonitor) -> None:
-    # Otherwise machines would be rented in a zone that is still cut off, once none is left in it.
+    # Otherwise machines would be rented in a zone that is still unreachable, once it has none left.
     stale = machines(8, last_seen_at=100.0)
     monitor.update(stale, {1: False}, 0.0, 104.0)
     for machine in stale:
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -58,7 +58,7 @@
 
 # A worker that sees a higher token sends a heartbeat at once, but at most this often (PROTOCOL).
 RAISE_INTERVAL_LEASES = 0.5
-# The rest of the grace period has to suffice for writing the token and for answering heartbeats.
+# The rest of the lease grace period has to suffice for writing the token and answering heartbeats.
 RAISE_INTERVAL_GRACE_SHARE = 1 / 3
 MIN_RAISE_INTERVAL_S = 1.0
 # Age, in leases, at which a start that is still wanted is invalidated. Until then it only delays
--- a/petrelthread/fleet/worker_lease.py
+++ b/petrelthread/fleet/worker_lease.py
@@ -2,7 +2,8 @@
 
 The response to a heartbeat renews the worker's lease. The worker kills its tasks when the lease
 expires. It measures the lease with its own clock, from when it sent the heartbeat. By this
-node's clock, the lease therefore expires at most ``longest_lease_s`` after the response was sent.
+controller's clock, the lease therefore expires at most ``longest_lease_s`` after the response was
+sent.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 log = logging.getLogger(__name__)
 
-CLOCK_DRIFT_FACTOR = 1.002  # a lease timed by the worker's clock may last so many times longer
+CLOCK_DRIFT_FACTOR = 1.002  # maximum ratio of a duration on a worker's clock to one on this clock
 LEASE_MARGIN_S = 0.5
-REPEATED_LOSS_WINDOW_LEASES = 1.5  # lease losses within it count as consecutive
+REPEATED_LOSS_WINDOW_LEASES = 1.5  # in leases; losses closer together count as consecutive
 
 
 def longest_lease_s(lease_s: float) -> float:
-    """Return how long a lease of ``lease_s`` may last at most by this node's clock."""
+    """Return how long a lease of ``lease_s`` may last at most by this controller's clock."""
     return lease_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
 
 
--- a/petrelthread/fleet/worker_status_reader.py
+++ b/petrelthread/fleet/worker_status_reader.py
@@ -18,7 +18,7 @@
 
 RESPONSE_TIMEOUT_S = 2.0
 PROBE_TIMEOUT_S = 1.0
-MAX_READS = 250  # workers that one call reads at most
+MAX_READS = 250  # maximum number of workers that one call of ``read_workers`` reads
 MAX_READS_WHEN_LATE = 25  # the same while the event loop is late by MAX_LOOP_DELAY_S or more
 MAX_LOOP_DELAY_S = 0.1
 
@@ -53,7 +53,7 @@
         Until a worker has acknowledged it, nothing may be placed on its machine, and a worker whose
         controller hangs takes seconds to find this one. The number is limited because each read
         takes time on the event loop, which also has to renew the leader's lease. Most workers send
-        a heartbeat on their own.
+        a heartbeat without being read.
 
         Args:
             now: Event loop time.
@@ -70,7 +70,7 @@
             if fleet.epoch != epoch or machine.acknowledged_epoch == epoch:
                 return
             clock = asyncio.get_running_loop().time
-            asked_at = clock()
+            requested_at = clock()
             try:
                 response = await self._send_token(machine)
                 heartbeat = protocol.parse_heartbeat(response.body)
@@ -78,8 +78,8 @@
                 log.debug("machine %s: status not read: %s", machine.name, error)
                 # A timeout that fired late, or during a pause of this process, is no evidence.
                 in_time = (
-                    clock() - asked_at < 2 * RESPONSE_TIMEOUT_S + MAX_LOOP_DELAY_S
-                    and fleet.resumed_at < asked_at
+                    clock() - requested_at < 2 * RESPONSE_TIMEOUT_S + MAX_LOOP_DELAY_S
+                    and fleet.resumed_at < requested_at
                 )
                 if fleet.epoch == epoch and in_time and isinstance(error, NoResponseError):
                     self._failure_detector.on_read(machine, answered=False)
@@ -113,7 +113,7 @@
             self._reading.start(self._probe(machine, self._fleet.epoch))
 
     async def _probe(self, machine: Machine, epoch: int) -> None:
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         try:
             await self._request(
                 machine.address, "GET", protocol.STATUS_PATH, timeout=PROBE_TIMEOUT_S
@@ -123,5 +123,5 @@
             answered = False
         finally:
             machine.probing = False
-        if self._fleet.epoch == epoch and machine.last_seen_at < asked_at:
+        if self._fleet.epoch == epoch and machine.last_seen_at < requested_at:
             self._failure_detector.on_probe(machine, answered, asyncio.get_running_loop().time())
--- a/petrelthread/fleet/zone_monitor.py
+++ b/petrelthread/fleet/zone_monitor.py
@@ -7,9 +7,9 @@
 
 from petrelthread.fleet.machine import Health, Machine
 
-MISSED_HEARTBEATS = 2.5  # heartbeat intervals without any heartbeat from a zone
+MISSED_HEARTBEATS = 2.5  # heartbeat intervals without any heartbeat that make a zone unreachable
 LEADER_DISCOVERY_S = 5.0  # added to the timeout while workers look for a new leader
-LEADER_DISCOVERY_PERIODS = 3  # the addition applies for so many times LEADER_DISCOVERY_S
+LEADER_DISCOVERY_PERIODS = 3  # the addition applies for this multiple of LEADER_DISCOVERY_S
 MIN_MACHINES_AS_EVIDENCE = 4  # fewer machines are no evidence in a zone without controllers
 RETRY_AFTER_S = 30.0  # after that, a zone without controllers counts as reachable again
 
@@ -19,12 +19,12 @@
 class ZoneChanges(NamedTuple):
     """The zones, by index, whose state this update changed."""
 
-    cut_off: set[int]
+    unreachable: set[int]
     restored: set[int]
 
 
 class ZoneMonitor:
-    """Keeps which zones are cut off, and since when."""
+    """Tracks which zones are unreachable, and since when."""
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self._timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
@@ -54,7 +54,7 @@
         timeout_s = self._timeout_s
         if now - observing_since < LEADER_DISCOVERY_PERIODS * LEADER_DISCOVERY_S:
             timeout_s += LEADER_DISCOVERY_S
-        cut_off: set[int] = set()
+        unreachable: set[int] = set()
         for zone, count in expected.items():
             if zone in self.cut_off_since or now - last_seen_at[zone] <= timeout_s:
                 continue
@@ -63,16 +63,16 @@
             if zone not in controllers and count < MIN_MACHINES_AS_EVIDENCE:
                 continue
             self.cut_off_since[zone] = now
-            cut_off.add(zone)
-        return ZoneChanges(cut_off, restored)
+            unreachable.add(zone)
+        return ZoneChanges(unreachable, restored)
 
     def _restore(
         self, last_seen_at: dict[int, float], controllers: dict[int, bool], now: float
     ) -> set[int]:
         """Restore zones with a new heartbeat or a reachable controller, or due for a retry.
 
-        The absence of unresponsive machines is no evidence, because the machines of a zone that is
-        cut off are returned to the cloud.
+        The absence of unresponsive machines is no evidence, because the machines of an unreachable
+        zone are scaled in.
         """
         restored: set[int] = set()
         for zone, since in list(self.cut_off_since.items()):
--- a/petrelthread/provisioning/cloud.py
+++ b/petrelthread/provisioning/cloud.py
@@ -55,13 +55,13 @@
         await self._budget.acquire()
 
     def refund_call(self) -> None:
-        """Return a charged call that was not made."""
+        """Refund a call that was charged to the budget but not made."""
         self._budget.refund()
 
     async def catalog(self) -> protocol.Catalog:
         """All machine types with their zones and prices."""
-        reply = await self._call("GET", protocol.CATALOG_PATH)
-        return self._decode(reply.body, protocol.Catalog)
+        response = await self._call("GET", protocol.CATALOG_PATH)
+        return self._decode(response.body, protocol.Catalog)
 
     async def scale_out(
         self,
@@ -78,7 +78,7 @@
 
         Args:
             idempotency_key: Identifies the request.
-            machine_type: Name in the catalogue.
+            machine_type: Name in the catalog.
             zone: Zone of the machines.
             spot: Request spot machines instead of on-demand ones.
             count: Maximum number of machines.
@@ -88,8 +88,10 @@
             NoCapacityError: The cloud has no capacity for the offer at present.
         """
         body = protocol.scale_out_request(idempotency_key, machine_type, zone, spot, count)
-        reply = await self._call("POST", protocol.MACHINES_PATH, body, call_acquired=call_acquired)
-        return self._decode(reply.body, protocol.ScaleOutResponse).machine_names
+        response = await self._call(
+            "POST", protocol.MACHINES_PATH, body, call_acquired=call_acquired
+        )
+        return self._decode(response.body, protocol.ScaleOutResponse).machine_names
 
     async def scale_in(self, names: list[str]) -> None:
         """Scale in machines by name. Idempotent."""
@@ -107,8 +109,8 @@
             target = f"{protocol.MACHINES_PATH}?limit={protocol.MAX_LIST_PAGE}"
             if after:
                 target += f"&from={quote(after)}"
-            reply = await self._call("GET", target)
-            page = self._decode(reply.body, protocol.MachineListPage)
+            response = await self._call("GET", target)
+            page = self._decode(response.body, protocol.MachineListPage)
             found += page.machines
             if not page.more:
                 return found
@@ -126,18 +128,18 @@
         if not call_acquired:
             await self.acquire_call()
         try:
-            reply = await self._request(self._addr, method, target, body, timeout=CALL_TIMEOUT_S)
+            response = await self._request(self._addr, method, target, body, timeout=CALL_TIMEOUT_S)
         except NoResponseError as error:
             if error.request_sent:
                 raise CloudResultUnknownError(str(error)) from error
             raise CloudUnavailableError(str(error)) from error
-        if reply.status == HTTPStatus.SERVICE_UNAVAILABLE and NO_CAPACITY_TEXT in reply.body:
+        if response.status == HTTPStatus.SERVICE_UNAVAILABLE and NO_CAPACITY_TEXT in response.body:
             raise NoCapacityError
-        if reply.status in REFUSED_STATUSES:
-            raise CloudUnavailableError(f"status {reply.status}: {reply.body[:100]!r}")
-        if reply.status != HTTPStatus.OK:
-            raise CloudResultUnknownError(f"status {reply.status}")
-        return reply
+        if response.status in REFUSED_STATUSES:
+            raise CloudUnavailableError(f"status {response.status}: {response.body[:100]!r}")
+        if response.status != HTTPStatus.OK:
+            raise CloudResultUnknownError(f"status {response.status}")
+        return response
 
     @staticmethod
     def _decode(body: bytes, kind: type[T]) -> T:
--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -14,27 +14,27 @@
 from petrelthread.state import Job
 
 EXPECTED_MACHINES_PER_ZONE = 2  # machines of the smallest type kept for an unseen urgent job class
-EXPECTED_MACHINES = 4  # minimum number of machines for unseen urgent classes, in all zones
+EXPECTED_MACHINES = 4  # minimum number for unseen urgent classes, in all zones together
 LATE_BOOT_FACTOR = 1.6  # multiple of the usual boot time after which a machine is no capacity
-MAX_PROBED_MACHINES = 6  # a suspect job (nothing completed) that failed on more gets no machine
-UNKNOWN_BOOT_S = 30.0  # assumed boot time while the catalogue is unknown
+MAX_PROBED_MACHINES = 6  # a suspect job that has failed on more machines demands none
+UNKNOWN_BOOT_S = 30.0  # assumed boot time while the catalog is unknown
 MAX_RUN_PROGRESS = 0.9  # maximum share of its expected run time that a running task counts as done
 
 
 class TeamQuota:
-    """The part of a team's limit that is left for its jobs later in the job order."""
+    """The headroom left in a team's quota for its jobs later in the scheduling order."""
 
     def __init__(self, cores: float, accelerators: float) -> None:
         self._cores = cores
         self._accelerators = accelerators
 
     def take(self, job: Job, tasks: int) -> None:
-        """Reduce the remaining quota by tasks of the job."""
+        """Reduce the headroom by tasks of the job."""
         self._cores -= tasks * job.cores
         self._accelerators -= tasks * job.accelerators
 
     def fitting_tasks(self, job: Job, tasks: int) -> int:
-        """How many of ``tasks`` of the job fit into the remaining quota."""
+        """How many of ``tasks`` of the job fit into the headroom."""
         if job.cores > 0:
             tasks = min(tasks, int((self._cores + CORES_EPSILON) / job.cores))
         if job.accelerators > 0:
@@ -102,7 +102,7 @@
         )
 
     def demands(self, now: float) -> list[Demand]:
-        """Demands expected of urgent job classes, then those of all open jobs in job order."""
+        """Expected demands of urgent job classes, then those of open jobs in scheduling order."""
         quotas = [TeamQuota(team.most_cores, team.most_accelerators) for team in self._view.teams]
         demands = self._expected_demands()
         for entry in self._view.job_order():
--- a/petrelthread/provisioning/plan.py
+++ b/petrelthread/provisioning/plan.py
@@ -19,7 +19,7 @@
     on_demand_fill: float = 0.5  # share of an on-demand machine's cores that must be needed
     spot_idle_s: float = 20.0  # idle timeout of surplus spot machines
     on_demand_idle_s: float = 2.0  # idle timeout of surplus on-demand machines
-    reserve_share: float = 0.5  # share of the cores expected for urgent jobs to keep in reserve
+    reserve_share: float = 0.5  # share of expected cores of urgent jobs that is kept in reserve
 
 
 class OfferKey(NamedTuple):
@@ -53,7 +53,7 @@
 class Demand(NamedTuple):
     """Machines needed by one job, or by jobs that are expected."""
 
-    tasks: int  # that the quota lets run at once, running ones included
+    tasks: int  # number that the quota permits at once, running ones included
     work_s: float  # remaining run time of all unfinished tasks
     deadline_in_s: float  # time left until the deadline
     cores: float  # per task
--- a/petrelthread/provisioning/planner.py
+++ b/petrelthread/provisioning/planner.py
@@ -21,11 +21,10 @@
     ScaleOutRequest,
 )
 
-DEFAULT_PRICE_RATIO = 2.2  # on-demand price over spot price of a core that the options assume
+DEFAULT_PRICE_RATIO = 2.2  # ratio of on-demand to spot price of a core that the options assume
 UNTRIED_OFFER_YIELD = 0.5  # share of the request that an untried offer is expected to fill
-MAX_OVERSIZE = (
-    2.0  # multiple of the lacking cores that a machine may have if smaller ones cost less
-)
+# Multiple of the lacking cores that a machine may have if a smaller one costs less.
+MAX_OVERSIZE = 2.0
 MIN_CORES = 1e-9  # avoids division by zero for machine types without cores
 
 
@@ -237,7 +236,7 @@
         surplus = list(self._unassigned.values())
         if no_demand:
             surplus = _without_reserve(surplus, reserve_cores)
-        # Replicas do not finish, so their machine stays open for more replicas instead of draining.
+        # Replicas do not finish, so their machine accepts more replicas instead of draining.
         cordoned = {machine.machine_index for machine in surplus if not machine.replicas}
         scale_ins = [
             machine.machine_index for machine in surplus if self._idle_timeout_reached(machine)
--- a/petrelthread/provisioning/planning_input.py
+++ b/petrelthread/provisioning/planning_input.py
@@ -1,4 +1,4 @@
-"""Conversion of the fleet and the catalogue into the planner's input."""
+"""Conversion of the fleet and the catalog into the planner's input."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PlanningInput:
-    """Provides owned machines and available offers from the present fleet and catalogue."""
+    """Provides owned machines and available offers from the present fleet and catalog."""
 
     def __init__(
         self,
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -86,15 +86,15 @@
         self.wake = asyncio.Event()
 
     def set_catalog(self, catalog: protocol.Catalog) -> None:
-        """Use a catalogue that was stored earlier."""
+        """Use a catalog that was stored earlier."""
         self._catalog.update(catalog)
 
     def catalog(self) -> tuple[protocol.MachineType, ...] | None:
-        """All machine types, or None while the catalogue is unknown."""
+        """All machine types, or None while the catalog is unknown."""
         return self._catalog.known_types()
 
     async def read_catalog(self, now: float) -> bool:
-        """Read the catalogue if a read is due. Returns whether it is known.
+        """Read the catalog if a read is due. Returns whether it is known.
 
         Followers call this as well, since they need machine types to validate submissions.
         """
@@ -121,7 +121,7 @@
         await self._resolve_unknown(now)
         if not self.machine_types or not self._leadership.is_leader:
             return
-        # Scale-ins with replicas are first: replicas move only after the confirmation.
+        # Machines with replicas come first: replicas move only once the scale-in is confirmed.
         await self.scale_in.execute_all(self.scale_in_selection.unresponsive_with_replicas(), now)
         plan = self.plan_now(now)
         for machine in self._fleet.machines.values():
--- a/petrelthread/provisioning/scale_in.py
+++ b/petrelthread/provisioning/scale_in.py
@@ -76,7 +76,7 @@
         await self.send(operation, now)
 
     def _names_for_one_call(self, machines: list[Machine]) -> list[str]:
-        """The first machines' names, as many as one call and its record may hold."""
+        """The first machines' names, as many as one call and its record may contain."""
         names: list[str] = []
         size = 0
         for machine in machines[: protocol.MAX_MACHINES_PER_SCALE_IN]:
@@ -109,7 +109,7 @@
 
     def _mark_terminated(self, name: str, now: float) -> None:
         machine = self._fleet.get_or_add(name, now)
-        self._fleet.mark_lost(machine, f"{name} was returned")
+        self._fleet.mark_lost(machine, f"{name} was scaled in")
         if machine.health is Health.TERMINATED:
             return
         if machine.health is not Health.TERMINATING:
--- a/petrelthread/provisioning/scale_in_selection.py
+++ b/petrelthread/provisioning/scale_in_selection.py
@@ -15,7 +15,7 @@
 
 
 class ScaleInSelection:
-    """Selects idle surplus, quarantined, unresponsive, preempted and never booted machines."""
+    """Selects machines that are surplus, quarantined, unresponsive, drained or never booted."""
 
     def __init__(self, context: ProvisioningContext, boot_monitor: BootMonitor) -> None:
         self._fleet = context.fleet
@@ -71,10 +71,10 @@
             return "unresponsive" if confirmed else ""
         if machine.health is Health.DRAINING:
             empty = machine.index not in self._cluster_state.attempts_by_machine
-            return "drained before preemption" if self._is_preempted(machine) and empty else ""
+            return "drained after spot notice" if self._has_spot_notice(machine) and empty else ""
         return "did not boot in time" if self._boot_monitor.has_timed_out(machine, now) else ""
 
     @staticmethod
-    def _is_preempted(machine: Machine) -> bool:
+    def _has_spot_notice(machine: Machine) -> bool:
         """Whether the cloud has announced that it will reclaim the spot machine."""
         return machine.spot_notice_s is not None
--- a/petrelthread/provisioning/scale_out.py
+++ b/petrelthread/provisioning/scale_out.py
@@ -57,7 +57,7 @@
         self._offer_backoff = offer_backoff
 
     async def execute_all(self, requests: list[ScaleOutRequest]) -> bool:
-        """Make the calls as fast as the rate limit allows. True if all were filled.
+        """Make the calls as fast as the rate limit allows. Returns whether all were filled.
 
         Calls to an offer that has fallen short meanwhile are skipped: they would only be refused,
         and delay the calls to other offers.
--- a/petrelthread/provisioning/test_planner.py
+++ b/petrelthread/provisioning/test_planner.py
@@ -105,7 +105,7 @@
     assert many.scale_outs
 
 
-def test_on_demand_machine_of_job_without_spot_is_not_cordoned() -> None:
+def test_on_demand_machine_of_job_that_excludes_spot_is_not_cordoned() -> None:
     """Cheaper spot machines must not make it surplus, since the job could not run on them."""
     machines = owned(5) + owned(1, spot=False)
     plan = plan_for([demand(10, 50.0), demand(2, 10.0, spot=False)], machines, [])
@@ -128,13 +128,13 @@
     ]
     plan = plan_for([with_pending, ending], machines, [SPOT])
     assert not plan.scale_outs  # cordoned machines still count as capacity
-    assert plan.cordoned == set(range(8, 20))  # 8 machines with 2 free cores each hold 8 tasks
+    assert plan.cordoned == set(range(8, 20))  # 8 machines with 2 free cores each fit 8 tasks
     # While pending tasks exceed the free cores, every machine accepts new tasks.
     mostly_full = [m._replace(occupied_cores=4.0) if m.machine_index % 2 else m for m in machines]
     assert not plan_for([demand(90, 4000.0), ending], mostly_full, []).cordoned
     without_pending = plan_for([ending], machines, [SPOT])
     assert without_pending.cordoned == set(range(20))
-    assert not without_pending.scale_ins  # none of them idles
+    assert not without_pending.scale_ins  # none of them is idle
 
 
 def test_replicas_get_on_demand_machines_and_keep_them() -> None:
--- a/petrelthread/provisioning/test_provisioner.py
+++ b/petrelthread/provisioning/test_provisioner.py
@@ -11,7 +11,7 @@
 from tests.virtual import play
 
 
-def test_scaled_in_and_late_machines_are_no_capacity_for_next_leader() -> None:
+def test_scaled_in_machine_does_not_count_as_capacity_for_next_leader() -> None:
     """Stale records would count them as booting capacity and suppress scale-outs."""
 
     async def scenario() -> None:
--- a/petrelthread/provisioning/test_scale_out.py
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -24,8 +24,8 @@
 
 
 def test_further_calls_to_offer_that_fell_short_are_skipped() -> None:
-    """They would be refused, and delay the calls to other zones."""
-    answers: list[tuple[str, int]] = []  # zone and number of machines
+    """Such calls would be refused, and delay the calls to other zones."""
+    grants: list[tuple[str, int]] = []  # zone and number of machines
 
     async def scenario() -> None:
         text = SMALL.text.replace("cpus_max = 12.0", "cpus_max = 4000.0")
@@ -36,10 +36,10 @@
         async def cloud(
             source: str, method: str, target: str, body: dict[str, Any]
         ) -> tuple[int, Any]:
-            status, answer = await handle(source, method, target, body)
+            status, response = await handle(source, method, target, body)
             if target == "/hosts" and method == "POST":
-                answers.append((body["roost"], len(answer.get("perches", ()))))
-            return status, answer
+                grants.append((body["roost"], len(response.get("perches", ()))))
+            return status, response
 
         simulation.net.hosts["cloud:1"] = cloud
         await simulation.submit(job("wk-000001", 2000, estimated_run_s=60.0))
@@ -49,6 +49,6 @@
 
     play(scenario())
     # Two zones share the same 420 machines: nine calls get some, at most two of the next get none.
-    first_short = next(at for at, (_, count) in enumerate(answers) if count < 50)
-    refused = [zone for zone, count in answers[first_short : first_short + 4] if count == 0]
+    first_short = next(at for at, (_, count) in enumerate(grants) if count < 50)
+    refused = [zone for zone, count in grants[first_short : first_short + 4] if count == 0]
     assert len(refused) <= 2, refused
--- a/petrelthread/settings/test_settings.py
+++ b/petrelthread/settings/test_settings.py
@@ -47,7 +47,7 @@
 
 
 def test_smaller_next_limits_apply_from_the_first_write() -> None:
-    """They take effect without notice. A larger limit, or none, changes nothing."""
+    """The next limits take effect without notice. A larger next limit, or none, changes nothing."""
     current = parse(VALID).cluster.state
     text = VALID + "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 100.0\n"
     lowered = parse(text).cluster.state
@@ -57,7 +57,7 @@
 
 
 def test_lower_next_write_rate_does_not_apply_from_the_first_write() -> None:
-    """A write above it is refused without harm; a value too large would always be refused."""
+    """A write above the rate is refused without harm; too large a value is always refused."""
     text = VALID + "[cluster.state.next]\nwrite_rps = 18.0\nrps = 90.0\n"
     state = parse(text).cluster.state
     assert (state.write_rps, state.lowered_write_rps, state.rps) == (60.0, 18.0, 90.0)
