--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -53,13 +53,13 @@
         context: ProvisioningContext,
         view: ClusterView,
         machine_types: dict[int, protocol.MachineType],
-        zones_down: Collection[int],
+        unreachable_zones: Collection[int],
     ) -> None:
         self._cluster_state = context.cluster_state
         self._fleet = context.fleet
         self._view = view
         self._machine_types = machine_types
-        self._zones_down = zones_down
+        self._unreachable_zones = unreachable_zones
         self._urgent_arrivals = Arrivals()
         self._service_arrivals = Arrivals(ramping=True)
         # The shortest objective for the time to start, by job class.
@@ -217,7 +217,7 @@
                 standing=True,
             )
             for zone in smallest.zones
-            if names.index(zone) not in self._zones_down
+            if names.index(zone) not in self._unreachable_zones
         ]
 
     def _has_unseen_urgent_class(self) -> bool:
@@ -249,4 +249,4 @@
         names = self._cluster_state.names.zones
         types = self._machine_types.values()
         zones = {names.index(zone) for machine_type in types for zone in machine_type.zones}
-        return sorted(zone for zone in zones if zone not in self._zones_down)
+        return sorted(zone for zone in zones if zone not in self._unreachable_zones)
--- a/petrelthread/provisioning/planning_input.py
+++ b/petrelthread/provisioning/planning_input.py
@@ -21,14 +21,14 @@
         machine_types: dict[int, protocol.MachineType],
         offer_backoff: OfferBackoff,
         boot_monitor: BootMonitor,
-        zones_down: Collection[int],
+        unreachable_zones: Collection[int],
     ) -> None:
         self._fleet = context.fleet
         self._names = context.cluster_state.names
         self._machine_types = machine_types
         self._offer_backoff = offer_backoff
         self._boot_monitor = boot_monitor
-        self._zones_down = zones_down
+        self._unreachable_zones = unreachable_zones
 
     def owned_machines(self, now: float) -> list[OwnedMachine]:
         """Machines that are up, or expected to boot in time."""
@@ -52,7 +52,7 @@
             return False
         if self._boot_monitor.is_late(machine, now):
             return False
-        return machine.health is Health.UP or machine.zone not in self._zones_down
+        return machine.health is Health.UP or machine.zone not in self._unreachable_zones
 
     def _owned(
         self, machine: Machine, machine_type: protocol.MachineType, now: float
@@ -89,7 +89,7 @@
             for zone_name in machine_type.zones:
                 zone = self._names.zones.index(zone_name)
                 # Machines in an unreachable zone would cost money and run no tasks.
-                if zone not in self._zones_down:
+                if zone not in self._unreachable_zones:
                     yield OfferKey(index, zone, True), machine_type, machine_type.spot_price
                     yield OfferKey(index, zone, False), machine_type, machine_type.on_demand_price
 
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -54,11 +54,11 @@
         cleanup: RecordCleanup,
         view: ClusterView,
         options: Callable[[], ProvisioningOptions],
-        zones_down: Collection[int] = (),
+        unreachable_zones: Collection[int] = (),
     ) -> None:
         """Create the parts.
 
-        ``options`` returns the options that operators have set. ``zones_down`` contains the
+        ``options`` returns the options that operators have set. ``unreachable_zones`` contains the
         unreachable zones; it may change at any time.
         """
         self._cluster_state = context.cluster_state
@@ -73,10 +73,10 @@
         self._operations = OperationRegistry(context.cluster_state, context.fleet, cleanup)
         self.operations = self._operations.by_store_key
         self.offer_backoff = OfferBackoff()
-        self.forecast = DemandForecast(context, view, self.machine_types, zones_down)
+        self.forecast = DemandForecast(context, view, self.machine_types, unreachable_zones)
         self._boot_monitor = BootMonitor(context.settings, context.fleet, self.machine_types)
         self._planning_input = PlanningInput(
-            context, self.machine_types, self.offer_backoff, self._boot_monitor, zones_down
+            context, self.machine_types, self.offer_backoff, self._boot_monitor, unreachable_zones
         )
         self.scale_out = ScaleOutExecutor(context, self._operations, self.offer_backoff)
         self.scale_in = ScaleInExecutor(context, self._operations, self.offer_backoff)
