--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -54,11 +54,11 @@
         cleanup: RecordCleanup,
         view: ClusterView,
         options: Callable[[], ProvisioningOptions],
-        zones_down: Collection[int] = (),
+        unreachable_zones: Collection[int] = (),
     ) -> None:
         """Create the parts.
 
-        ``options`` returns the options that operators have set. ``zones_down`` contains the
+        ``options`` returns the options that operators have set. ``unreachable_zones`` contains the
         unreachable zones; it may change at any time.
         """
         self._cluster_state = context.cluster_state
@@ -73,10 +73,10 @@
         self._operations = OperationRegistry(context.cluster_state, context.fleet, cleanup)
         self.operations = self._operations.by_store_key
         self.offer_backoff = OfferBackoff()
-        self.forecast = DemandForecast(context, view, self.machine_types, zones_down)
+        self.forecast = DemandForecast(context, view, self.machine_types, unreachable_zones)
         self._boot_monitor = BootMonitor(context.settings, context.fleet, self.machine_types)
         self._planning_input = PlanningInput(
-            context, self.machine_types, self.offer_backoff, self._boot_monitor, zones_down
+            context, self.machine_types, self.offer_backoff, self._boot_monitor, unreachable_zones
         )
         self.scale_out = ScaleOutExecutor(context, self._operations, self.offer_backoff)
         self.scale_in = ScaleInExecutor(context, self._operations, self.offer_backoff)
@@ -86,15 +86,15 @@
         self.wake = asyncio.Event()
 
     def set_catalog(self, catalog: protocol.Catalog) -> None:
-        """Use a catalogue that was stored earlier."""
+        """Use a catalog that was stored earlier."""
         self._catalog.update(catalog)
 
     def catalog(self) -> tuple[protocol.MachineType, ...] | None:
-        """All machine types, or None while the catalogue is unknown."""
+        """All machine types, or None while the catalog is unknown."""
         return self._catalog.known_types()
 
     async def read_catalog(self, now: float) -> bool:
-        """Read the catalogue if a read is due. Returns whether it is known.
+        """Read the catalog if a read is due. Returns whether it is known.
 
         Followers call this as well, since they need machine types to validate submissions.
         """
@@ -121,7 +121,7 @@
         await self._resolve_unknown(now)
         if not self.machine_types or not self._leadership.is_leader:
             return
-        # Scale-ins with replicas are first: replicas move only after the confirmation.
+        # Machines with replicas come first: replicas move only once the scale-in is confirmed.
         await self.scale_in.execute_all(self.scale_in_selection.unresponsive_with_replicas(), now)
         plan = self.plan_now(now)
         for machine in self._fleet.machines.values():
