--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -45,8 +45,9 @@
 STATE_SERVICE_SHARE = 0.9  # share of the state service's limits that all controllers use
 CLOUD_SHARE = 0.85  # share of the cloud's limit; not divided, since the leader makes the calls
 CLOUD_BURST_S = 2.0  # the cloud accepts this many seconds' worth of calls at once
-CLEANUP_RESERVE_SHARE = 0.5  # of the write burst, not used for deleting settled records
-STATE_SERVICE_TIMEOUT_S = 3.0  # without a completed read for this long, it is unreachable
+CLEANUP_RESERVE_SHARE = 0.5  # of the write burst; deletions of settled records leave it unused
+# Without a completed read for this long, the state service counts as unreachable.
+STATE_SERVICE_TIMEOUT_S = 3.0
 MAX_CONCURRENT_COMMANDS = 24  # default for direct requests to workers
 LEADER_POLL_INTERVAL_S = 0.03  # pause between two watches of the state service
 FOLLOWER_POLL_INTERVAL_S = 0.15
@@ -54,7 +55,7 @@
 
 
 class Controller:
-    """One controller of the cluster, active while ``run`` is.
+    """One controller of the cluster; ``run`` runs its loops.
 
     ``handle`` answers requests to the public address, ``handle_peer`` those to the peer address.
     """
@@ -73,7 +74,7 @@
         Args:
             settings: the settings that the platform supplies.
             request: sends HTTP requests.
-            randomness: draws delays, so that controllers do not act at the same time, and nonces.
+            randomness: source of nonces, and of delays so that controllers act at different times.
             commands: sends requests to workers; ``request`` if None.
             commands_at_once: how many requests to workers may be in flight.
             lease_request: sends lease renewals, so that they never queue behind other requests;
@@ -297,7 +298,7 @@
             LEADER_POLL_INTERVAL_S if active else FOLLOWER_POLL_INTERVAL_S
         )
         if role is Role.LEADING:
-            # The provisioner reads the catalogue; submissions are refused until it is known.
+            # The provisioner reads the catalog; submissions are refused until it is known.
             self.provisioner.wake.set()
             self.scheduler.wake.set()
 
@@ -329,7 +330,7 @@
         self.scheduler.wake.set()
 
     def _on_process_resumed(self, _pause_s: float, now: float) -> None:
-        """Discard evidence from before a process pause, because it is older than it looks."""
+        """Discard evidence from before a process pause, which is at least as old as the pause."""
         self.election.on_process_resumed()
         self.fleet.resumed_at = now
         self.peer_monitor.last_received.clear()
--- a/petrelthread/controller/housekeeping.py
+++ b/petrelthread/controller/housekeeping.py
@@ -23,9 +23,12 @@
 LOAD_LOG_INTERVAL_S = 5.0
 MAX_STATE_AGE_S = 1.0  # the watch cache is refreshed if its newest read is older
 PEER_TIMEOUT_S = 3.0  # a sibling without a heartbeat for longer counts as unreachable
-READ_WORKERS_S = 15.0  # how long after its election a leader reads workers that have not reported
-ABSTAIN_S = 15.0  # how long a leader that resigned because no worker reaches it does not campaign
-MIN_PEER_HEARTBEATS = 2  # worker heartbeats at siblings that prove that workers are alive
+# How long after its election a leader reads workers that have not acknowledged its epoch.
+READ_WORKERS_S = 15.0
+# How long a leader that resigned because no worker reaches it does not campaign.
+ABSTAIN_S = 15.0
+# Worker heartbeats received by siblings that prove that workers are alive.
+MIN_PEER_HEARTBEATS = 2
 
 
 @dataclass
@@ -81,7 +84,7 @@
             starts = self.fleet.unacknowledged_starts
             log.debug(
                 "load: %s; maximum event loop delay %.2f s; fencing token %d;"
-                " %d unacknowledged starts, the oldest unanswered for %.1f s",
+                " %d unacknowledged starts, the oldest %.1f s old",
                 self.view.load_summary(),
                 self._max_delay_s,
                 self.election.fencing_token,
@@ -99,8 +102,8 @@
         }
         machines = self.fleet.machines.values()
         since = max(self.election.elected_at, self.pause_detector.resumed_at)
-        cut_off, restored = self.zone_monitor.update(machines, controllers, since, now)
-        for zone in sorted(cut_off):
+        unreachable, restored = self.zone_monitor.update(machines, controllers, since, now)
+        for zone in sorted(unreachable):
             log.warning("zone %s is cut off: nothing in it is reachable", names.name(zone))
         for zone in sorted(restored):
             log.info("zone %s is reachable again", names.name(zone))
--- a/petrelthread/controller/provisioning_loop.py
+++ b/petrelthread/controller/provisioning_loop.py
@@ -1,4 +1,4 @@
-"""The leader's provisioning steps, and reading of the catalogue on followers."""
+"""The leader's provisioning steps, and the followers' reading of the catalog."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 MAX_WAIT_S = 1.0  # for a wake-up, before the next step
 STEP_INTERVAL_S = 0.5  # between two steps, at least
 MAX_PLAN_TIME_SHARE = 0.1  # share of the time that planning may take
-# The leader stores the catalogue for all controllers. A follower that still lacks it after this
+# The leader stores the catalog for all controllers. A follower that still lacks it after this
 # time reads it from the cloud. It waits because calls by all controllers would use up the burst
 # that the first scale-out requests need.
 CATALOG_FALLBACK_S = 2.0
@@ -29,7 +29,7 @@
 
 @dataclass
 class ProvisioningLoop:
-    """Runs the provisioner while this controller leads; a follower only reads the catalogue."""
+    """Runs the provisioner while this controller leads; a follower only reads the catalog."""
 
     election: Election
     claims: ClaimWriter
@@ -64,7 +64,7 @@
             await asyncio.sleep(pause_s)
 
     async def _store_catalog(self) -> None:
-        """Store the catalogue for controllers that start while the cloud is unavailable."""
+        """Store the catalog for controllers that start while the cloud is unavailable."""
         if self.cluster_state.catalog is not None or not self.provisioner.machine_types:
             return
         value = msgspec.to_builtins(protocol.Catalog(self.provisioner.catalog() or ()))
--- a/petrelthread/controller/routes.py
+++ b/petrelthread/controller/routes.py
@@ -14,7 +14,8 @@
 from petrelthread.peers import PEER_HEARTBEAT_PATH, PeerMonitor
 from petrelthread.store import WatchCache
 
-MAX_READY_STATE_AGE_S = 3.0  # with an older state, a node is not ready if siblings are current
+# With an older state, a node is not ready if a sibling reaches the state service.
+MAX_READY_STATE_AGE_S = 3.0
 PEER_TIMEOUT_S = 3.0  # a sibling without a heartbeat for longer counts as unreachable
 
 
@@ -45,7 +46,7 @@
     def _ready(self) -> Response:
         if not self.watch_cache.loaded.is_set():
             return error_response(503, "still starting", 1)
-        # If only this node cannot reach the state service, its siblings serve requests better. If
+        # If only this node cannot reach the state service, requests should go to its siblings. If
         # no controller can, not being ready would only delay the recovery after the outage.
         peers = self.peer_monitor.recent(PEER_TIMEOUT_S)
         peers_reach_state = any(heartbeat.state_service_ok for heartbeat in peers)
--- a/petrelthread/controller/scheduling_loop.py
+++ b/petrelthread/controller/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""The leader's failure detection, voiding of unacknowledged starts, and placement rounds."""
+"""The leader's failure detection, invalidation of unacknowledged starts, and placement rounds."""
 
 from __future__ import annotations
 
--- a/petrelthread/controller/state_changes.py
+++ b/petrelthread/controller/state_changes.py
@@ -83,7 +83,7 @@
         try:
             self._provisioner.set_catalog(msgspec.convert(value, protocol.Catalog))
         except msgspec.ValidationError as error:
-            log.warning("stored catalogue is malformed: %s", error)
+            log.warning("stored catalog is malformed: %s", error)
 
     def _apply_options(self, stored: dict[str, Any]) -> None:
         values = with_defaults(stored)
--- a/petrelthread/controller/write_rates.py
+++ b/petrelthread/controller/write_rates.py
@@ -48,7 +48,7 @@
         self.quota = WriteQuota(rates.follower)
 
     def start(self) -> None:
-        """Note that the controller starts to run now."""
+        """Set the start time of the controller to now."""
         self._started_at = asyncio.get_running_loop().time()
 
     def update(self, peers: PeerMonitor, now: float) -> None:
@@ -66,7 +66,7 @@
         self._bucket.set_rate(self.quota.rate(now), now)
 
     def sample(self, elapsed_s: float) -> None:
-        """Update the mean write rate by the writes since the last sample."""
+        """Update the mean write rate from the writes since the last sample."""
         total = self._bucket.total_acquired
         recent = (total - self._sampled_total) / max(elapsed_s, MIN_SAMPLE_S)
         self._sampled_total = total
@@ -87,9 +87,9 @@
     def _may_borrow(self, now: float) -> bool:
         """Whether this controller may borrow write rate from siblings.
 
-        A follower always may: the first users all reach the controllers that start first. A leader
-        may only while the service's burst allowance is not used up; otherwise the service would
-        refuse its writes, and submissions would fail.
+        A follower always may, because the first user requests all reach the controllers that start
+        first. A leader may only while the service's burst allowance is not used up; otherwise the
+        service would refuse its writes, and submissions would fail.
         """
         if self._role() not in ACTIVE_ROLES:
             return True
--- a/petrelthread/leadership/claim_writer.py
+++ b/petrelthread/leadership/claim_writer.py
@@ -72,7 +72,7 @@
 
     A claim is only valid in the epoch in which it was requested, because it is based on the state
     known in that epoch. If this controller loses the leadership and is elected again while the
-    claim is queued or unanswered, another leader may have acted in between. The claim must not be
+    claim is queued or in flight, another leader may have acted in between. The claim must not be
     applied under the newer fence and ends as ``FENCED``. The fencing token may be raised meanwhile,
     because no other controller leads within an epoch.
     """
@@ -104,15 +104,15 @@
         absent = absent_keys if marker is None else (*absent_keys, marker)
         conditions = [protocol.Condition(KEY_PREFIX + key, 0) for key in absent]
         claim = _Claim(operations, conditions, marker)
-        requested_under = self._fence()
+        initial_fence = self._fence()
         async with self._lock:
-            return await self._write_until_known(claim, requested_under)
+            return await self._write_until_known(claim, initial_fence)
 
-    async def _write_until_known(self, claim: _Claim, requested_under: Fence | None) -> ClaimResult:
+    async def _write_until_known(self, claim: _Claim, initial_fence: Fence | None) -> ClaimResult:
         """Retry a claim until its result is known or the epoch in which it was requested ends."""
         while True:
             fence = self._fence()
-            if requested_under is None or fence is None or fence.epoch != requested_under.epoch:
+            if initial_fence is None or fence is None or fence.epoch != initial_fence.epoch:
                 return ClaimResult(ClaimOutcome.FENCED)
             result = await self._try_once(claim, fence)
             if result is not None:
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -38,7 +38,7 @@
 RENEW_RETRY_S = 0.25
 ROLE_CHANGE_STEP_S = 0.05  # after a campaign or an expired lease
 FAILOVER_RETRY_S = 0.2  # between two attempts to read the state after the election
-MAX_CAMPAIGN_DELAY_S = 0.15  # of a random delay, so that candidates do not campaign all at once
+MAX_CAMPAIGN_DELAY_S = 0.15  # random delay, so that candidates campaign at different times
 
 
 class Election(LeadershipState):
@@ -128,8 +128,8 @@
     def on_process_resumed(self) -> None:
         """Enter the lease grace period after a process pause that outlasted the lease.
 
-        Another controller may have been elected meanwhile. Until the state service has answered,
-        this one sends no commands and does not report itself as the leader.
+        Another controller may have been elected meanwhile. Until the lease has been renewed, this
+        one sends no commands and does not report itself as the leader.
         """
         if self.role in (Role.LEADING, Role.FAILING_OVER) and self._now() >= self._lease.expires_at:
             self._transition(Role.LEASE_GRACE, "process pause outlasted the lease")
@@ -162,7 +162,8 @@
         self._wake.set()
 
     def _on_epoch_key(self, epoch: int, revision: int) -> None:
-        # The leader key, written in the same transaction, shows which controller has the epoch.
+        # Does not change the role: the leader key, which is written in the same transaction, shows
+        # which controller has the epoch.
         self._stored_epoch, self._stored_epoch_revision = epoch, revision
         self.highest_known_epoch = max(self.highest_known_epoch, epoch)
 
@@ -212,7 +213,7 @@
         return ROLE_CHANGE_STEP_S
 
     def _is_own_earlier_incarnation(self, leader: LeaderRecord) -> bool:
-        """Whether the leader key is from this node before a restart, so that its leader is dead."""
+        """Whether this node wrote the leader key before a restart; that process has exited."""
         return leader.node == self._node_name and leader.nonce != self._nonce
 
     # ---- candidate -----------------------------------------------------------------------------
@@ -327,7 +328,7 @@
         return LeaderRecord(self._node_name, self._nonce, token, lease_id)
 
     def adopt_token(self, token: int, revision: int) -> None:
-        """Use a higher token that the leader keys hold under this controller's lease.
+        """Use a higher token that was written to the leader keys under this controller's lease.
 
         Called for the response to the write and for the watch; the first of the two takes effect.
         """
--- a/petrelthread/leadership/fence.py
+++ b/petrelthread/leadership/fence.py
@@ -1,4 +1,4 @@
-"""The fence: transaction conditions that reject writes of a deposed leader."""
+"""The fence: transaction conditions that prevent writes by a deposed leader."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Conditions of a transaction that are met only while this controller leads.
 
     They require the revisions at which this controller wrote the leader keys, so that the state
-    service refuses the transaction of a leader that does not know that it was deposed.
+    service does not apply the transaction of a leader that does not know that it was deposed.
     """
 
     epoch: int  # of the election; each later election of the same controller has a higher one
--- a/petrelthread/leadership/fencing_token.py
+++ b/petrelthread/leadership/fencing_token.py
@@ -69,16 +69,20 @@
         a claim is in flight, because it changes the fence that claims depend on.
         """
         holder = self._holder
-        epoch, before = holder.epoch, holder.fencing_token
-        self.unconfirmed_token = before + 1
+        epoch, old_token = holder.epoch, holder.fencing_token
+        self.unconfirmed_token = old_token + 1
         while (
-            holder.role is Role.LEADING and holder.epoch == epoch and holder.fencing_token == before
+            holder.role is Role.LEADING
+            and holder.epoch == epoch
+            and holder.fencing_token == old_token
         ):
-            if await self.write(before + 1):
+            if await self.write(old_token + 1):
                 break
             await asyncio.sleep(TOKEN_RETRY_INTERVAL_S)
         return (
-            holder.role in ACTIVE_ROLES and holder.epoch == epoch and holder.fencing_token > before
+            holder.role in ACTIVE_ROLES
+            and holder.epoch == epoch
+            and holder.fencing_token > old_token
         )
 
     async def write(self, token: int) -> bool:
--- a/petrelthread/leadership/leader_lease.py
+++ b/petrelthread/leadership/leader_lease.py
@@ -10,7 +10,8 @@
 LEASE_TTL_S = 3.0
 RENEW_INTERVAL_S = 0.75
 RENEW_TIMEOUT_S = 0.9
-MAX_CLOCK_DRIFT = 1.001  # the state service's clock may run faster than ours by this factor
+# The state service's clock may run faster than this controller's by this factor.
+MAX_CLOCK_DRIFT = 1.001
 
 
 @dataclass(slots=True)
@@ -23,7 +24,7 @@
     """
 
     lease_id: int | None = None  # None before the first election
-    renewed_at: float = 0.0  # event loop time at which the latest successful request was sent
+    renewed_at: float = 0.0  # event loop time at which the latest grant or renewal was sent
 
     @property
     def expires_at(self) -> float:
--- a/petrelthread/leadership/leadership_state.py
+++ b/petrelthread/leadership/leadership_state.py
@@ -64,8 +64,8 @@
     def may_answer_workers(self) -> bool:
         """Whether it may acknowledge heartbeats with 200, which renews the workers' leases.
 
-        Unless ``is_leader``, such a response contains no commands but stops of tasks whose jobs
-        have a final status.
+        Unless ``is_leader``, such a response contains no commands except to stop tasks of jobs with
+        a final status.
 
         Evidence: it was elected and has seen no newer epoch; its own lease may have expired, and
         the failover may be incomplete. Workers whose leases are renewed keep their tasks running
@@ -96,5 +96,5 @@
         return asyncio.get_running_loop().time()
 
     def _lease_grace_end(self) -> float:
-        current_as_of = min(self._lease.renewed_at, self._watch_cache.current_as_of)
-        return current_as_of + self._lease_grace_s
+        older_evidence_at = min(self._lease.renewed_at, self._watch_cache.current_as_of)
+        return older_evidence_at + self._lease_grace_s
--- a/petrelthread/leadership/test_election.py
+++ b/petrelthread/leadership/test_election.py
@@ -73,9 +73,9 @@
 
 
 def test_a_leader_deposed_during_a_reload_can_be_elected_again() -> None:
-    """A reload reports the epoch key before the leader key, so the leader still has its old role.
+    """A reload applies the epoch key before the leader key, while the leader still has its role.
 
-    The revision of the epoch key has to be recorded even so, because campaigns compare it.
+    The revision of the epoch key must be kept nevertheless, because campaigns compare it.
     """
 
     async def scenario() -> None:
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -73,7 +73,7 @@
         self.last_received: dict[str, ReceivedHeartbeat] = {}  # by the sender's host name
 
     def record(self, heartbeat: PeerHeartbeat) -> None:
-        """Keep a heartbeat that was just received and report it to ``on_heartbeat``."""
+        """Keep a heartbeat that was just received and pass it to ``on_heartbeat``."""
         received_at = asyncio.get_running_loop().time()
         self.last_received[heartbeat.node] = ReceivedHeartbeat(heartbeat, received_at)
         self._on_heartbeat(heartbeat)
@@ -116,11 +116,11 @@
         """Send one heartbeat, and record the response if its status is 200."""
         body = msgspec.to_builtins(self._own_heartbeat())
         requested_at = asyncio.get_running_loop().time()
-        reply = await self._request(
+        response = await self._request(
             sibling.peer_addr, "POST", PEER_HEARTBEAT_PATH, body, timeout=HEARTBEAT_TIMEOUT_S
         )
-        if reply.status != HTTPStatus.OK:
+        if response.status != HTTPStatus.OK:
             return
-        heartbeat = msgspec.convert(orjson.loads(reply.body), PeerHeartbeat)
+        heartbeat = msgspec.convert(orjson.loads(response.body), PeerHeartbeat)
         self.record(heartbeat)
         self._record_loan(heartbeat.node, heartbeat.lent_write_rate, requested_at)
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -38,7 +38,7 @@
     assert not monitor.last_received
 
 
-def test_a_heartbeat_is_answered_with_the_own_epoch_and_expires() -> None:
+def test_a_heartbeat_is_answered_with_this_controllers_epoch_and_expires() -> None:
     received: list[PeerHeartbeat] = []
 
     async def scenario() -> None:
@@ -56,7 +56,7 @@
 
 
 def test_heartbeats_continue_after_failed_and_malformed_responses() -> None:
-    replies: list[ClientResponse | NoResponseError] = [
+    outcomes: list[ClientResponse | NoResponseError] = [
         NoResponseError("refused", request_sent=False),
         ClientResponse(200, b"{"),
         ClientResponse(200, b'{"node":1}'),
@@ -64,10 +64,10 @@
     received: list[PeerHeartbeat] = []
 
     async def request(*_args: object, **_kwargs: object) -> ClientResponse:
-        reply = replies.pop(0) if replies else ClientResponse(200, b'{"node":"n1","epoch":9}')
-        if isinstance(reply, NoResponseError):
-            raise reply
-        return reply
+        outcome = outcomes.pop(0) if outcomes else ClientResponse(200, b'{"node":"n1","epoch":9}')
+        if isinstance(outcome, NoResponseError):
+            raise outcome
+        return outcome
 
     async def scenario() -> None:
         task = asyncio.ensure_future(make_monitor(received, request).run())
--- a/petrelthread/state/attempt_table.py
+++ b/petrelthread/state/attempt_table.py
@@ -76,19 +76,19 @@
             round_attempts.discard(attempt)
 
     def set_reported_state(self, attempt: Attempt, status: str) -> str:
-        """Record the task state that a worker reports; an exited attempt uses no resources.
+        """Set the task state that a worker reports; an exited attempt uses no resources.
 
         Returns:
             The previously reported state.
         """
-        before, attempt.reported_state = attempt.reported_state, status
+        previous, attempt.reported_state = attempt.reported_state, status
         machine_attempts = self.attempts_by_machine.get(attempt.machine, {})
         if machine_attempts.get((attempt.job.index, attempt.task)) is attempt:
-            if status == protocol.TaskState.EXITED and before != protocol.TaskState.EXITED:
+            if status == protocol.TaskState.EXITED and previous != protocol.TaskState.EXITED:
                 self.usage.remove(attempt)
-            elif before == protocol.TaskState.EXITED and status != protocol.TaskState.EXITED:
+            elif previous == protocol.TaskState.EXITED and status != protocol.TaskState.EXITED:
                 self.usage.add(attempt)
-        return before
+        return previous
 
     def settle_unsent_round(self, number: int) -> None:
         """Release all attempts of a round that was not sent or has ended, and keep its entry."""
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -49,8 +49,8 @@
         open_jobs: jobs without a final status, by index.
         open_jobs_by_done_record: by number of a record of finished tasks, the indices of the open
             jobs whose tasks it contains.
-        machines_by_failing_job: by id of a job that fails everywhere, the names of machines
-            where it failed.
+        machines_by_failing_job: by id of a suspect job, one that fails everywhere, the names of
+            machines where it failed.
         scale_out_records: by name of the request.
         scale_in_records: names of the machines to return, by name of the request.
         catalog: stored value of the machine types; None if there is none.
@@ -259,7 +259,7 @@
         return {name for names in [*scaled_out, *self.scale_in_records.values()] for name in names}
 
     def obsolete_done_records(self) -> list[int]:
-        """Numbers of the records of finished tasks that may be deleted, as all their jobs ended."""
+        """Numbers of finished task records that may be deleted, as all their jobs have finished."""
         return [number for number, jobs in self.open_jobs_by_done_record.items() if not jobs]
 
 
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -39,7 +39,7 @@
             ``STOP_TIME_UNKNOWN`` if only the record of the stop is known.
         proven_stable: whether it is a replica that has run long enough to show that its job
             can run.
-        start_delivered: whether a response to a heartbeat has contained its start command.
+        start_delivered: whether a heartbeat response has contained its start command.
     """
 
     __slots__ = (
--- a/petrelthread/state/stored_records.py
+++ b/petrelthread/state/stored_records.py
@@ -31,7 +31,7 @@
     FINAL_STATUS = "f"  # by job: done or cancelled; created once
     ROUND = "r"  # by record number: RoundRecord
     FINISHED_TASKS = "d"  # by record number: FinishedTasksRecord
-    FAILING_JOB = "s"  # by job that fails everywhere: names of machines where it failed
+    FAILING_JOB = "s"  # by suspect job (fails everywhere): names of machines where it failed
     SCALE_OUT = "c"  # by scale-out request: ScaleOutRecord
     SCALE_IN = "x"  # by scale-in request: names of the machines to return
     LEADER = "lead"  # LeaderRecord
@@ -59,7 +59,7 @@
     job_class: str
     priority: int  # a higher value takes precedence
     task_count: int
-    cores: float  # of each task; also accelerators and memory
+    cores: float  # of each task, as are accelerators and memory
     accelerators: float
     ram_gb: float
     image: str
@@ -89,7 +89,7 @@
             machine_types=None if spec.machine_types is None else list(spec.machine_types),
             zone=spec.zone,
             flags=_flags(spec),
-            # None of the next three is None in a spec that ``parse_job`` returns.
+            # ``parse_job`` never returns None in the next three.
             estimated_run_s=cast("float", spec.estimated_run_s),
             checkpoint_interval_s=cast("float", spec.checkpoint_interval_s),
             grace_period_s=cast("float", spec.grace_period_s),
--- a/petrelthread/state/test_cluster_state.py
+++ b/petrelthread/state/test_cluster_state.py
@@ -47,7 +47,7 @@
 def change_at_random(
     cluster_state: ClusterState, attempts: list[Attempt], number: int, randomness: random.Random
 ) -> None:
-    """Add an attempt, or report a state for or release one that was added before."""
+    """Add an attempt, or release an earlier one or set its reported state."""
     action = randomness.random()
     job = randomness.choice(cluster_state.jobs)
     if action < 0.5:
--- a/petrelthread/state/test_stored_records.py
+++ b/petrelthread/state/test_stored_records.py
@@ -1,4 +1,4 @@
-"""Decoding and encoding of stored values, and the keys that hold them."""
+"""Decoding and encoding of stored values, and the effects of their keys."""
 
 from __future__ import annotations
 
--- a/petrelthread/store/client.py
+++ b/petrelthread/store/client.py
@@ -33,7 +33,7 @@
 
 REQUEST_TIMEOUT_S = 1.0
 LIST_TIMEOUT_S = 3.0
-WATCH_MARGIN_S = 1.0  # of the request timeout beyond a watch's wait time
+WATCH_MARGIN_S = 1.0  # added to a watch's wait time, to give its request timeout
 PAGE_SIZE = 1000  # keys on one page of a listing
 ERROR_EXCERPT_BYTES = 200  # of a 400 response's body, quoted in the error's message
 
@@ -46,9 +46,9 @@
         raise StateResultUnknownError(f"garbled answer: {error}") from error
 
 
-def _expect_ok(reply: ClientResponse) -> None:
-    if reply.status != HTTPStatus.OK:
-        raise StateResultUnknownError(f"status {reply.status}")
+def _expect_ok(response: ClientResponse) -> None:
+    if response.status != HTTPStatus.OK:
+        raise StateResultUnknownError(f"status {response.status}")
 
 
 class StateClient:
@@ -106,17 +106,17 @@
             await self.request_bucket.acquire()
         request = request or self._request
         try:
-            reply = await request(self._address, method, target, body, timeout=timeout)
+            response = await request(self._address, method, target, body, timeout=timeout)
         except NoResponseError as error:
             if error.request_sent:
                 raise StateResultUnknownError(str(error)) from error
             raise StateUnavailableError(str(error)) from error
-        if reply.status == HTTPStatus.TOO_MANY_REQUESTS:
+        if response.status == HTTPStatus.TOO_MANY_REQUESTS:
             self.rate_limited_at = asyncio.get_running_loop().time()
             raise StateRateLimitedError("status 429")
-        if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
+        if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             raise StateUnavailableError("status 503")
-        return reply
+        return response
 
     async def list_keys(self, prefix: str, after: str | None) -> protocol.KeyPage:
         """Read one page of the keys with a prefix, in key order.
@@ -128,9 +128,9 @@
         target = f"/keys?prefix={quote(prefix)}&limit={PAGE_SIZE}"
         if after is not None:
             target += f"&from={quote(after)}"
-        reply = await self._call("GET", target, timeout=LIST_TIMEOUT_S)
-        _expect_ok(reply)
-        return _decode(reply.body, protocol.KeyPage)
+        response = await self._call("GET", target, timeout=LIST_TIMEOUT_S)
+        _expect_ok(response)
+        return _decode(response.body, protocol.KeyPage)
 
     async def watch(
         self, prefix: str, after: int, wait_s: float, skip_rate_limit: bool = False
@@ -147,13 +147,13 @@
             The changes, or None if the service no longer knows all changes since ``after``.
         """
         target = f"/watch?prefix={quote(prefix)}&from={after}&wait_ms={int(wait_s * 1000)}"
-        reply = await self._call(
+        response = await self._call(
             "GET", target, timeout=wait_s + WATCH_MARGIN_S, skip_rate_limit=skip_rate_limit
         )
-        if reply.status == HTTPStatus.GONE:
+        if response.status == HTTPStatus.GONE:
             return None
-        _expect_ok(reply)
-        return _decode(reply.body, protocol.WatchResponse)
+        _expect_ok(response)
+        return _decode(response.body, protocol.WatchResponse)
 
     async def transact(
         self,
@@ -175,25 +175,25 @@
             await self.write_bucket.acquire(len(operations))
         request = protocol.transaction_request(conditions, operations)
         try:
-            reply = await self._call("POST", "/multi", request, timeout)
+            response = await self._call("POST", "/multi", request, timeout)
         except StateRateLimitedError:
             self.write_rate_limited = self.write_rate_limited or bool(operations)
             raise
-        if reply.status == HTTPStatus.CONFLICT:
-            failed = _decode(reply.body, protocol.TransactionFailed)
+        if response.status == HTTPStatus.CONFLICT:
+            failed = _decode(response.body, protocol.TransactionFailed)
             raise TransactionConflictError(failed.failed_keys)
-        if reply.status == HTTPStatus.BAD_REQUEST:
-            if b"lease" in reply.body:
+        if response.status == HTTPStatus.BAD_REQUEST:
+            if b"lease" in response.body:
                 raise LeaseExpiredError
-            raise StateRejectedError(f"status 400: {reply.body[:ERROR_EXCERPT_BYTES]!r}")
-        _expect_ok(reply)
-        return _decode(reply.body, protocol.TransactionCommitted).revision
+            raise StateRejectedError(f"status 400: {response.body[:ERROR_EXCERPT_BYTES]!r}")
+        _expect_ok(response)
+        return _decode(response.body, protocol.TransactionCommitted).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
         """Create a lease that expires ``ttl_s`` seconds after its last renewal; return its id."""
-        reply = await self._call("POST", "/grants", {"life_ms": int(ttl_s * 1000)})
-        _expect_ok(reply)
-        return _decode(reply.body, protocol.LeaseGranted).lease_id
+        response = await self._call("POST", "/grants", {"life_ms": int(ttl_s * 1000)})
+        _expect_ok(response)
+        return _decode(response.body, protocol.LeaseGranted).lease_id
 
     async def renew_lease(self, lease_id: int, timeout: float) -> None:
         """Renew a lease, without taking a token of a bucket.
@@ -201,7 +201,7 @@
         Raises:
             LeaseExpiredError: it has expired.
         """
-        reply = await self._call(
+        response = await self._call(
             "POST",
             f"/grants/{lease_id}/extend",
             {},
@@ -209,9 +209,9 @@
             skip_rate_limit=True,
             request=self._lease_request,
         )
-        if reply.status == HTTPStatus.NOT_FOUND:
+        if response.status == HTTPStatus.NOT_FOUND:
             raise LeaseExpiredError
-        _expect_ok(reply)
+        _expect_ok(response)
 
     async def revoke_lease(self, lease_id: int) -> None:
         """Revoke a lease, which deletes the keys tied to it. The response's status is ignored."""
--- a/petrelthread/store/test_write_quota.py
+++ b/petrelthread/store/test_write_quota.py
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_the_rates_of_all_controllers_stay_within_the_limit(seed: int) -> None:
-    """Random base rates, needs and clock rates; responses to loan requests are lost or delayed."""
+    """Random needs, clock rates and number of controllers; responses are lost or delayed."""
     randomness = random.Random(seed)
     names = ["a", "b", "c", "d", "e"][: randomness.choice([3, 5])]
     base_rates = {name: (6.0 if name == "a" else 4.0 / (len(names) - 1)) for name in names}
--- a/petrelthread/store/write_quota.py
+++ b/petrelthread/store/write_quota.py
@@ -45,7 +45,7 @@
             borrower: name of the controller that asks.
             requested: writes per second that it asks for.
             used: writes per second that this controller made recently.
-            now: seconds.
+            now: event loop time.
 
         Returns:
             Writes per second lent; may be 0.
@@ -78,6 +78,6 @@
         """Writes per second that this controller may make now; always above 0."""
         lent = sum(self._outstanding_rate(name, now) for name in self._lent)
         borrowed = sum(loan.rate for loan in self._borrowed.values() if loan.expires_at > now)
-        # After a leader becomes a follower, its loans may exceed its base rate. The token bucket
-        # divides by the rate, which must therefore stay above 0.
+        # After a leader becomes a follower, the rate that it lent may exceed its base rate. The
+        # token bucket divides by the rate, which must therefore stay above 0.
         return max(MIN_WRITE_RATE, self.base_rate - lent + borrowed + self.extra_rate)
