--- a/petrelthread/emulator/cloud.py
+++ b/petrelthread/emulator/cloud.py
@@ -1,4 +1,4 @@
-"""Emulated cloud: catalogue, idempotent scale-out, scale-in, and an eventually consistent list."""
+"""Emulated cloud: catalog, idempotent scale-out, scale-in, and an eventually consistent list."""
 
 from __future__ import annotations
 
--- a/petrelthread/emulator/demo.py
+++ b/petrelthread/emulator/demo.py
@@ -87,7 +87,7 @@
         user_tasks = [asyncio.create_task(users.follow(job, self._started_at)) for job in JOBS]
         progress = asyncio.create_task(self._show_progress())
         try:
-            await self._wait_until(self._half_done, "half of the tasks")
+            await self._wait_until(self._half_completed, "half of the tasks")
             await self._kill_leader()
             await self._wait_until(self._arrays_finished, "the arrays")
             await self._wait_until(self._service_running, "all replicas of the service")
@@ -134,7 +134,7 @@
     def _task_count(self) -> int:
         return sum(job.spec["legs"] for job in JOBS if not job.service)
 
-    def _half_done(self) -> bool:
+    def _half_completed(self) -> bool:
         return 2 * len(self._environment.checker.completed_tasks) >= self._task_count()
 
     def _finished_jobs(self) -> set[str]:
--- a/petrelthread/emulator/environment.py
+++ b/petrelthread/emulator/environment.py
@@ -51,7 +51,7 @@
 
     @property
     def machine_types(self) -> tuple[dict[str, Any], ...]:
-        """The machine types, as the cloud's catalogue lists them."""
+        """The machine types, as the cloud's catalog lists them."""
 
     @property
     def spot(self) -> int:
--- a/petrelthread/emulator/faults.py
+++ b/petrelthread/emulator/faults.py
@@ -129,7 +129,7 @@
 
     lost: bool = False
     delay_s: float = 0.0
-    answer_lost: bool = False
+    response_lost: bool = False
 
 
 DELIVERED = Delivery()
@@ -149,8 +149,8 @@
     # Machines with asymmetric partitions.
     not_receiving: set[str] = field(default_factory=set)
     not_sending: set[str] = field(default_factory=set)
-    # By machine, the loop time until which direct commands to it are held. Its heartbeats are not
-    # affected.
+    # By machine, the event loop time until which direct commands to it are held. Its heartbeats are
+    # not affected.
     commands_held_until: dict[str, float] = field(default_factory=dict)
     late_writes: float = 0.0  # share of transactions that are delayed or lose their response
     late_commands: float = 0.0  # share of direct commands that are delayed, without a response
@@ -165,16 +165,16 @@
         if destination == STATE and target == "/multi" and draw < self.late_writes:
             late = self.randomness.random() < DELAYED_SHARE
             delay_s = draw_delay_s(self.randomness) if late else 0.0
-            return Delivery(delay_s=delay_s, answer_lost=True)
+            return Delivery(delay_s=delay_s, response_lost=True)
         if target == "/do" and destination in self.commands_held_until:
             now = asyncio.get_running_loop().time()
             delay_s = max(MIN_HELD_S, self.commands_held_until[destination] - now)
-            return Delivery(delay_s=delay_s, answer_lost=True)
+            return Delivery(delay_s=delay_s, response_lost=True)
         if target == "/do" and draw < self.late_commands:
-            return Delivery(delay_s=draw_delay_s(self.randomness), answer_lost=True)
+            return Delivery(delay_s=draw_delay_s(self.randomness), response_lost=True)
         if source in self.not_receiving or destination in self.not_sending:
             # A machine in ``not_sending`` still responds on connections that others have opened.
-            return Delivery(answer_lost=source in self.not_receiving)
+            return Delivery(response_lost=source in self.not_receiving)
         return DELIVERED
 
     def duplicate_delay_s(self, target: str) -> float | None:
--- a/petrelthread/emulator/injector.py
+++ b/petrelthread/emulator/injector.py
@@ -15,8 +15,8 @@
     from petrelthread.emulator.worker import Worker
 
 LEADER_SHARE = 0.6  # of the faults of one controller that target the leader
-MESSAGE_SHARE = 0.4  # of the messages that are affected while messages are late
-MAX_DYING_MACHINES = 3  # machines that one fault terminates
+MESSAGE_SHARE = 0.4  # of the messages that a fault of LATE_KINDS affects
+MAX_TERMINATED_MACHINES = 3  # machines that one fault terminates
 MAX_HELD_MACHINES = 6  # machines to which one fault holds commands
 
 FaultAction = Callable[[Fault], Awaitable[None]]
@@ -164,7 +164,7 @@
     # ---- machines ----------------------------------------------------------------------------
 
     async def _machines_die(self, fault: Fault) -> None:
-        for _ in range(1 + int(fault.target_draw * MAX_DYING_MACHINES)):
+        for _ in range(1 + int(fault.target_draw * MAX_TERMINATED_MACHINES)):
             worker = self._target_worker(fault)
             if worker is not None:
                 self._environment.cloud.remove(worker.name)
--- a/petrelthread/emulator/invariant_checker.py
+++ b/petrelthread/emulator/invariant_checker.py
@@ -22,12 +22,12 @@
 ROUND_KEY_PREFIX = "pt/r/"
 FINAL_KEY_PREFIX = "pt/f/"
 FINAL_STATUSES = ("done", "aborted")
-MAX_ANSWER_GAP_S = 75.0  # without a response about an accepted job after the last fault
+MAX_RESPONSE_GAP_S = 75.0  # without a response about an accepted job after the last fault
 MAX_WAIT_S = 90.0  # of a job that fits a machine and its team's quota, after the last fault
 
 
 class _WaitingJob(NamedTuple):
-    """A job with waiting tasks, and since when no change explains why they wait."""
+    """A job with waiting tasks that fit a machine, and since when it has started none."""
 
     since: float
     started_tasks: int
@@ -56,7 +56,7 @@
         self.violations: list[str] = []
         self.recorded_tasks: set[str] = set()  # tasks with a start recorded in the state service
         self._waiting: dict[str, _WaitingJob] = {}
-        self._last_answer_at: dict[str, float] = {}
+        self._last_response_at: dict[str, float] = {}
         self._zones: dict[str, str] = {}  # by machine
         self._observations: dict[str, deque[str]] = {}  # by job
 
@@ -120,7 +120,7 @@
             self.check_cancellations()
 
     def record_end(self, task: str, machine: str) -> None:
-        """Record that the task no longer runs: it exited or was killed, or its machine is gone."""
+        """Record that a task no longer runs: it exited or was killed, or its machine terminated."""
         machines = self.machines_by_task.get(task, set())
         if machine in machines:
             machines.remove(machine)
@@ -132,20 +132,20 @@
         """Record that the task has completed its work."""
         self.completed_tasks.add(task)
 
-    def record_answer(self, job_id: str, http_status: int, answer: dict[str, Any]) -> None:
+    def record_answer(self, job_id: str, http_status: int, response: dict[str, Any]) -> None:
         """Record and check a response that a user received about the job."""
-        self._observe(job_id, f"user: {http_status} {answer.get('status', '')}")
+        self._observe(job_id, f"user: {http_status} {response.get('status', '')}")
         if http_status == HTTPStatus.NOT_FOUND:
             if job_id in self.statuses:
                 self.violations.append(f"forgotten: {job_id}")
             return
         if http_status not in (HTTPStatus.OK, HTTPStatus.CREATED):
             return
-        self._last_answer_at[job_id] = asyncio.get_running_loop().time()
+        self._last_response_at[job_id] = asyncio.get_running_loop().time()
         if job_id not in self._environment.jobs:
             self.violations.append(f"invented: {job_id}")
-        self._check_status_change(job_id, answer["status"])
-        self.statuses[job_id] = answer["status"]
+        self._check_status_change(job_id, response["status"])
+        self.statuses[job_id] = response["status"]
 
     def check_cancellations(self) -> None:
         """Check that no task of a job runs ``cancel_s`` after its cancellation was confirmed."""
@@ -165,8 +165,8 @@
         for job_id in self.statuses if polled_jobs is None else polled_jobs:
             if job_id not in self.statuses:
                 continue
-            since = max(self._last_answer_at[job_id], self.faults_ended_at or now)
-            if now - since > MAX_ANSWER_GAP_S:
+            since = max(self._last_response_at[job_id], self.faults_ended_at or now)
+            if now - since > MAX_RESPONSE_GAP_S:
                 self.violations.append(
                     f"forgotten: no answer about {job_id} for {now - since:.0f} s"
                 )
@@ -202,7 +202,7 @@
         return self._zone_violation(job_id_of(task), job, machine.zone)
 
     def _zone_violation(self, job_id: str, job: protocol.JobSpec, zone: str) -> str:
-        """The reason why the job may not have a task in the zone, given its others; or empty."""
+        """Why the job, given its other tasks, may not have one in the zone; empty if it may."""
         if not (job.single_zone or job.spread_zones):
             return ""
         zones = [
--- a/petrelthread/emulator/loopback.py
+++ b/petrelthread/emulator/loopback.py
@@ -24,7 +24,7 @@
 
 HOST = "127.0.0.1"
 HANG_S = 60.0  # longer than any request timeout
-CONTROLLER = "controller"  # source of direct commands: all controllers use a machine's one port
+CONTROLLER = "controller"  # source of direct commands: a machine has one port for all controllers
 MAX_CONNECTIONS = 256  # accepted by one emulated program
 CLIENT_CONNECTIONS = 16  # opened by one worker or controller, or by all users
 
@@ -117,7 +117,7 @@
             status, content = await handler(
                 source, method, target, orjson.loads(body) if body else None
             )
-            if delivery.answer_lost:
+            if delivery.response_lost:
                 await asyncio.sleep(HANG_S)
             return json_response(status, content)
 
@@ -142,11 +142,11 @@
             if cut or source in self._faults.not_sending:
                 await asyncio.sleep(timeout)
                 raise NoResponseError("request lost", True)
-            reply = await client.request(address, method, target, body, timeout)
+            response = await client.request(address, method, target, body, timeout)
             if source in self._faults.not_receiving:
                 await asyncio.sleep(timeout)
                 raise NoResponseError("response lost", True)
-            return reply
+            return response
 
         return request
 
@@ -170,10 +170,10 @@
 
     async def forward(_source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         try:
-            reply = await requester(address, method, target, body, timeout_s)
+            response = await requester(address, method, target, body, timeout_s)
         except NoResponseError:
             await asyncio.sleep(timeout_s)
             return 503, {"error": "no answer"}
-        return reply.status, orjson.loads(reply.body)
+        return response.status, orjson.loads(response.body)
 
     return forward
--- a/petrelthread/emulator/loopback_environment.py
+++ b/petrelthread/emulator/loopback_environment.py
@@ -20,8 +20,8 @@
 from petrelthread.emulator.loopback import LoopbackNetwork, forwarder
 from petrelthread.emulator.processes import (
     CANCEL_S,
+    HEARTBEAT_INTERVAL_S,
     LEASE_S,
-    REPORT_S,
     TEAMS,
     TXN_OPS,
     ZONES,
@@ -61,7 +61,7 @@
 
     @property
     def machine_types(self) -> tuple[dict[str, Any], ...]:
-        """The one machine type of the catalogue."""
+        """The one machine type of the catalog."""
         return (
             {
                 "sku": "small",
@@ -100,8 +100,8 @@
         self.random = random.Random(seed)
         names = tuple(f"node-{index}" for index in range(options.controllers))
         self.deployment = LoopbackDeployment(options.machines, names)
-        self.workers = Workers(report_s=REPORT_S, lease_s=LEASE_S, cancel_s=CANCEL_S)
-        self.limits = {team: most or UNLIMITED for team, _, most in TEAMS}
+        self.workers = Workers(report_s=HEARTBEAT_INTERVAL_S, lease_s=LEASE_S, cancel_s=CANCEL_S)
+        self.limits = {team: max_cores or UNLIMITED for team, _, max_cores in TEAMS}
         self.jobs: dict[str, dict[str, Any]] = {}
         self.failing_jobs: set[str] = set()
         self.boot_delay_s = 0.0
--- a/petrelthread/emulator/processes.py
+++ b/petrelthread/emulator/processes.py
@@ -12,9 +12,10 @@
 from pathlib import Path
 from typing import IO
 
+# Name, guaranteed cores and maximum cores of each team; a maximum of 0 means no limit.
 TEAMS = (("red", 4.0, 12.0), ("blue", 4.0, 8.0), ("guest", 0.0, 0.0))
 ZONES = ("a", "b", "c")
-REPORT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 LEASE_S = 5.0
 CANCEL_S = 16.0
 LIST_LAG_S = 4.0
@@ -74,8 +75,8 @@
     )
     zones = ", ".join(f'"{z}"' for z in ZONES)
     teams = "".join(
-        f'[[cluster.teams]]\nname = "{team}"\ncpus = {cpus}\ncpus_max = {most}\n'
-        for team, cpus, most in TEAMS
+        f'[[cluster.teams]]\nname = "{team}"\ncpus = {guaranteed_cores}\ncpus_max = {max_cores}\n'
+        for team, guaranteed_cores, max_cores in TEAMS
     )
     return SETTINGS.format(
         name=name,
@@ -88,7 +89,7 @@
         count=1 + len(addresses.siblings),
         zones=zones,
         teams=teams,
-        report_s=REPORT_S,
+        report_s=HEARTBEAT_INTERVAL_S,
         lease_s=LEASE_S,
         cancel_s=CANCEL_S,
         txn_ops=TXN_OPS,
@@ -100,7 +101,7 @@
     """Append each line of ``source`` to the file, preceded by the time at which it was read.
 
     The time is in seconds on the clock that the invariant checker uses. Returns when the process
-    that writes to ``source`` ends.
+    that writes to ``source`` exits.
     """
     with path.open("ab") as log, source:
         for line in source:
--- a/petrelthread/emulator/soak.py
+++ b/petrelthread/emulator/soak.py
@@ -1,6 +1,6 @@
 """Soak: real controllers on the loopback interface under random faults, with an invariant checker.
 
-A seed determines the workload and the faults. Processes and sockets are real, so that runs of the
+A seed determines the workload and the faults. Processes and sockets are real, so runs of the
 same seed may differ in timing and outcome.
 """
 
--- a/petrelthread/emulator/users.py
+++ b/petrelthread/emulator/users.py
@@ -101,8 +101,8 @@
     async def _cancel(self, job: PlannedJob) -> None:
         self._checker.cancel_requested.add(job.job_id)
         path = f"/v2/runs/{job.job_id}/withdraw"
-        status, answer = await self._send(job.job_id, "POST", path, None, POLL_TIMEOUT_S)
-        if status == HTTPStatus.OK and answer["status"] == "aborted":
+        status, content = await self._send(job.job_id, "POST", path, None, POLL_TIMEOUT_S)
+        if status == HTTPStatus.OK and content["status"] == "aborted":
             now = asyncio.get_running_loop().time()
             self._checker.cancelled_at.setdefault(job.job_id, now)
 
@@ -123,9 +123,9 @@
     ) -> tuple[int, dict[str, Any]]:
         """Return the status and body of the response; status 0 if there is none."""
         try:
-            reply = await self._request(address, method, path, body, timeout_s)
+            response = await self._request(address, method, path, body, timeout_s)
         except NoResponseError:
             return 0, {}
-        answer = orjson.loads(reply.body)
-        self._checker.record_answer(job_id, reply.status, answer)
-        return reply.status, answer
+        content = orjson.loads(response.body)
+        self._checker.record_answer(job_id, response.status, content)
+        return response.status, content
--- a/petrelthread/emulator/worker.py
+++ b/petrelthread/emulator/worker.py
@@ -16,7 +16,7 @@
 
 STOPPED_CAUSE = "stopped"  # exit cause of a task that a command stopped
 IMAGE_FETCH_S = 1.0
-FROZEN_POLL_S = 0.1  # interval at which a hanging worker checks whether it still hangs
+HANGING_POLL_S = 0.1  # interval at which a hanging worker checks whether it still hangs
 HANG_S = 1000.0  # longer than any request timeout
 HEARTBEAT_TIMEOUT_S = 4.0
 RETRY_S = 1.0  # after a heartbeat without a usable response
@@ -105,7 +105,7 @@
     async def handle(self, _source: str, _method: str, target: str, body: Any) -> tuple[int, Any]:
         """Handle a direct command or a request for a heartbeat."""
         while self.frozen:
-            await asyncio.sleep(FROZEN_POLL_S)
+            await asyncio.sleep(HANGING_POLL_S)
         if self.dead:
             await asyncio.sleep(HANG_S)
         if target == protocol.COMMAND_PATH:
@@ -189,12 +189,12 @@
         controllers = self._environment.deployment.nodes
         while not self.dead:
             if self.frozen:
-                await asyncio.sleep(FROZEN_POLL_S)
+                await asyncio.sleep(HANGING_POLL_S)
                 continue
             sent_at, incarnation = self._now(), self.incarnation
             address = self._environment.public_address(controllers[self._controller_index])
             try:
-                reply = await request(
+                response = await request(
                     address,
                     "POST",
                     protocol.HEARTBEAT_PATH,
@@ -205,23 +205,23 @@
                 self._try_next_controller()
                 await asyncio.sleep(RETRY_S)
                 continue
-            await asyncio.sleep(self._handle_reply(reply, sent_at, incarnation))
+            await asyncio.sleep(self._handle_response(response, sent_at, incarnation))
 
-    def _handle_reply(self, reply: ClientResponse, sent_at: float, incarnation: int) -> float:
+    def _handle_response(self, response: ClientResponse, sent_at: float, incarnation: int) -> float:
         """Process the response to a heartbeat. Returns the pause in seconds before the next one."""
-        answer = orjson.loads(reply.body)
-        if reply.status == HTTPStatus.OK:
-            token = answer["baton"]
+        content = orjson.loads(response.body)
+        if response.status == HTTPStatus.OK:
+            token = content["baton"]
             is_current = token >= self.fencing_token and incarnation == self.incarnation
             if is_current and not self.dead:
                 self.fencing_token = token
                 self.lease_renewed_at = sent_at
-                self._execute(answer["orders"])
+                self._execute(content["orders"])
             jitter = self._environment.random.uniform(*HEARTBEAT_JITTER)
             return self._environment.workers.report_s * jitter
         controllers = self._environment.deployment.nodes
-        leader = answer.get("home")
-        if reply.status == HTTPStatus.MISDIRECTED_REQUEST and leader in controllers:
+        leader = content.get("home")
+        if response.status == HTTPStatus.MISDIRECTED_REQUEST and leader in controllers:
             self._controller_index = controllers.index(leader)
             return REDIRECT_S
         self._try_next_controller()
--- a/tests/golden_data.py
+++ b/tests/golden_data.py
@@ -1,7 +1,7 @@
 """Reads the golden files in ``tests/golden`` and records traffic to compare with them.
 
-A golden file holds sections of cases, each with its input and expected output. These hold no
-names of classes, functions or attributes of the code.
+A golden file contains sections of cases, each with its input and expected output, but no names of
+classes, functions or attributes of the code.
 """
 
 from __future__ import annotations
@@ -46,11 +46,11 @@
 
 
 class ScriptedRequester:
-    """Records requests and answers them with the given replies."""
+    """Records requests and answers them with the given responses."""
 
-    def __init__(self, *replies: Any) -> None:
-        """``replies`` are pairs of status and body; the last one answers all further requests."""
-        self.replies = list(replies)
+    def __init__(self, *responses: Any) -> None:
+        """``responses`` are pairs of status and body; the last one answers all further requests."""
+        self.responses = list(responses)
         self.requests: list[dict[str, Any]] = []
 
     async def request(
@@ -60,9 +60,9 @@
         self.requests.append(
             {"address": addr, "method": method, "target": target, "body": sent_body}
         )
-        status, answer = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
+        status, response = self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
         await asyncio.sleep(0.01)
-        return ClientResponse(status, orjson.dumps(answer))
+        return ClientResponse(status, orjson.dumps(response))
 
 
 class RecordedHosts(dict[str, RequestHandler]):
@@ -77,13 +77,13 @@
     def __setitem__(self, address: str, handler: RequestHandler) -> None:
         async def recorded(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
             request_body = orjson.loads(orjson.dumps(body))
-            status, answer = await handler(source, method, target, body)
+            status, response = await handler(source, method, target, body)
             exchange = {"from": source, "to": address, "method": method, "target": target}
-            response_body = orjson.loads(orjson.dumps(answer))
+            response_body = orjson.loads(orjson.dumps(response))
             self.exchanges.append(
                 {**exchange, "body": request_body, "status": status, "answer": response_body}
             )
-            return status, answer
+            return status, response
 
         super().__setitem__(address, recorded)
 
--- a/tests/placement_model.py
+++ b/tests/placement_model.py
@@ -83,7 +83,7 @@
 def model(
     requests: list[PlacementRequest], machines: list[MachineCapacity], quotas: list[QuotaHeadroom]
 ) -> list[tuple[int, int]]:
-    """Place tasks one by one, comparing all machines each time; job and machine index of each."""
+    """Place tasks one by one, comparing all machines. Returns the job and machine index of each."""
     placed: list[tuple[int, int]] = []
     for request in requests:
         quota = quotas[request.team]
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -39,7 +39,7 @@
     return [node for node in NODES if node != name]
 
 
-def lost_transaction_answers(simulation: Simulation, share: float, late: bool) -> DeliveryRule:
+def lose_transaction_responses(simulation: Simulation, share: float, late: bool) -> DeliveryRule:
     """Lose the responses of a share of transactions, which commit at once or 2 to 12 s late."""
 
     def rule(source: str, addr: str, method: str, target: str, body: Any) -> Any:
@@ -63,11 +63,11 @@
 
     async def call(node: str, method: str, path: str, body: Any) -> None:
         try:
-            status, answer = await simulation.ask(node, method, path, body)
+            status, response = await simulation.ask(node, method, path, body)
         except NoResponseError:
             return
-        simulation.checker.record_answer(job_id, status, answer)
-        assert status not in (400, 422), (job_id, node, answer)
+        simulation.checker.record_answer(job_id, status, response)
+        assert status not in (400, 422), (job_id, node, response)
 
     requests = [call(node, "GET", f"/v2/runs/{job_id}", None) for node in simulation.nodes]
     requests += [
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -51,7 +51,7 @@
 
 
 class RecordingDispatcher:
-    """Records the launches that a dispatcher would send."""
+    """Records the attempts for which a dispatcher would send start commands."""
 
     def __init__(self) -> None:
         self.launched: list[Attempt] = []
--- a/tests/simulated_network.py
+++ b/tests/simulated_network.py
@@ -34,7 +34,7 @@
         self.not_receiving: set[str] = set()
         self.not_sending: set[str] = set()
         # Seconds of delay of a response, by the target of its request.
-        self.answer_delay: Callable[[str], float] = lambda target: 0.0
+        self.response_delay: Callable[[str], float] = lambda target: 0.0
         # Seconds after which a request is delivered a second time; None: it is not duplicated.
         self.duplicate_rule: Callable[[str, str, str, str], float | None] = lambda *request: None
 
@@ -85,7 +85,7 @@
                 self._redeliver(duplicate_delay_s, source, addr, method, target, body)
             )
         status, response = await handler(source, method, target, body)
-        if delay_s := self.answer_delay(target):
+        if delay_s := self.response_delay(target):
             await asyncio.sleep(delay_s)
         if response_is_lost or source in self.not_receiving or self._partitioned(source, host):
             await asyncio.sleep(LOST_MESSAGE_DELAY_S)
@@ -95,7 +95,7 @@
         return frozenset((source, host)) in self.partitions
 
     async def _connect(self, source: str, host: str, addr: str) -> None:
-        """Raise if the connection is refused; if cut off, wait until the request times out."""
+        """Raise if the connection is refused; if partitioned, wait until the request times out."""
         if source in self.not_sending:
             await asyncio.sleep(LOST_MESSAGE_DELAY_S)
         if addr not in self.hosts:
@@ -105,7 +105,7 @@
             raise NoResponseError("refused", False)
 
     async def _deliver(self, source: str, addr: str, method: str, target: str, body: Any) -> bool:
-        """Apply the delivery rule: delay or lose the request. Whether its response will be lost."""
+        """Apply the delivery rule to the request. Returns whether its response is lost."""
         if self.delivery_rule is None:
             return False
         delivery = self.delivery_rule(source, addr, method, target, body)
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -224,13 +224,13 @@
     # ---- users ---------------------------------------------------------------------------------
 
     async def ask(self, node: str, method: str, target: str, body: Any = None) -> tuple[int, Any]:
-        reply = await self.net.requester("user")(f"{node}:1", method, target, body, timeout=5.0)
-        return reply.status, orjson.loads(reply.body)
+        response = await self.net.requester("user")(f"{node}:1", method, target, body, timeout=5.0)
+        return response.status, orjson.loads(response.body)
 
     async def ask_admin(self, node: str, path: str) -> tuple[int, Any]:
         request = self.net.requester("operator")
-        reply = await request(f"{node}:2", "GET", f"/admin/v1/{path}", timeout=5.0)
-        return reply.status, orjson.loads(reply.body)
+        response = await request(f"{node}:2", "GET", f"/admin/v1/{path}", timeout=5.0)
+        return response.status, orjson.loads(response.body)
 
     async def submit(
         self, spec: dict[str, Any], tries: int = 60, nodes: Sequence[str] = ()
@@ -239,10 +239,10 @@
         for _ in range(tries):
             for node in nodes or self.deployment.nodes:
                 try:
-                    status, answer = await self.ask(node, "POST", "/v2/runs", spec)
+                    status, response = await self.ask(node, "POST", "/v2/runs", spec)
                 except NoResponseError:
                     continue
-                self.checker.record_answer(spec["name_id"], status, answer)
+                self.checker.record_answer(spec["name_id"], status, response)
                 if status in (200, 201):
                     return
             await asyncio.sleep(1.0)
@@ -260,24 +260,24 @@
         """Send one cancel request to one controller. The job's status if the response has one."""
         self.checker.cancel_requested.add(job_id)
         try:
-            status, answer = await self.ask(node, "POST", f"/v2/runs/{job_id}/withdraw")
+            status, response = await self.ask(node, "POST", f"/v2/runs/{job_id}/withdraw")
         except NoResponseError:
             return None
-        self.checker.record_answer(job_id, status, answer)
+        self.checker.record_answer(job_id, status, response)
         if status != 200:
             return None
-        if answer["status"] == "aborted":
+        if response["status"] == "aborted":
             self.checker.cancelled_at.setdefault(job_id, asyncio.get_running_loop().time())
-        return str(answer["status"])
+        return str(response["status"])
 
     async def poll(self) -> None:
         for job_id in self.jobs:
             for node in self.deployment.nodes:
                 try:
-                    status, answer = await self.ask(node, "GET", f"/v2/runs/{job_id}")
+                    status, response = await self.ask(node, "GET", f"/v2/runs/{job_id}")
                 except NoResponseError:
                     continue
-                self.checker.record_answer(job_id, status, answer)
+                self.checker.record_answer(job_id, status, response)
         self.checker.check_answers()
         self.checker.check_waiting_jobs()
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -75,7 +75,7 @@
 
 
 def test_controller_in_lease_grace_stops_cancelled_tasks() -> None:
-    """A final status never changes, so stopping tasks for it needs no right to command."""
+    """A final status never changes, so a leader in lease grace may stop the job's tasks."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 100.0
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -1,4 +1,4 @@
-"""Events between a claim and its answer: watch, heartbeats and cloud do not wait for it."""
+"""Events between a claim and its response: watch, heartbeats and cloud do not wait for it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tests.scenario import run
 from tests.simulation import Simulation, job
 
-ANSWER_DELAY_S = 0.05  # the watch returns a record well before this
+RESPONSE_DELAY_S = 0.05  # the watch returns a record well before this
 
 
-def test_rounds_read_by_the_watch_before_their_answer_are_dispatched() -> None:
-    """A leader must not treat its own unanswered rounds as late copies of settled ones."""
+def test_rounds_read_by_the_watch_before_their_response_are_dispatched() -> None:
+    """A leader must not treat its own unanswered rounds as late duplicates of settled ones."""
     recorded = 0
 
     async def scenario(simulation: Simulation) -> None:
@@ -23,7 +23,9 @@
             return 0.0, False
 
         simulation.net.delivery_rule = delivery
-        simulation.net.answer_delay = lambda target: ANSWER_DELAY_S if target == "/multi" else 0.0
+        simulation.net.response_delay = lambda target: (
+            RESPONSE_DELAY_S if target == "/multi" else 0.0
+        )
         for n in range(4):
             await simulation.submit(job(f"wk-{n:06d}", 3, team="red" if n % 2 else "blue"))
         await simulation.wait_until_over(120.0)
--- a/tests/test_cloud_faults.py
+++ b/tests/test_cloud_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the cloud: late or lost answers, refusals, and machines that boot late or never."""
+"""Faults of the cloud: late or lost responses, refusals, and machines that boot late or never."""
 
 from __future__ import annotations
 
@@ -70,9 +70,8 @@
 
     machine_types = tuple({**kind, "startup_s": startup_s} for kind in SMALL.machine_types)
     simulation = run(scenario, deployment=replace(SMALL, machine_types=machine_types))
-    assert (
-        simulation.cloud.rented <= 3
-    )  # 4 tasks of 2 cores need 2 machines of 4 cores; repetitions rent none
+    # 4 tasks of 2 cores need 2 machines of 4 cores; repeated requests rent none.
+    assert simulation.cloud.rented <= 3
 
 
 def test_unanswered_scale_out_of_a_crashed_leader_rents_at_most_4_machines() -> None:
@@ -160,7 +159,7 @@
 
 
 def test_submission_soon_after_an_election_is_accepted() -> None:
-    """Submissions were refused for up to 1.5 s after an election, until the catalogue was read.
+    """Submissions were refused for up to 1.5 s after an election, until the catalog was read.
 
     Users repeat a refused submission only after 1 s.
     """
@@ -169,11 +168,11 @@
         await simulation.wait_for_leader()
         await asyncio.sleep(0.3)
         simulation.jobs["wk-000001"] = job("wk-000001", 2)
-        status, answer = await simulation.ask(
+        status, response = await simulation.ask(
             "n0", "POST", "/v2/runs", simulation.jobs["wk-000001"]
         )
         assert status == 201
-        simulation.checker.record_answer("wk-000001", status, answer)
+        simulation.checker.record_answer("wk-000001", status, response)
         await simulation.wait_until_over(60.0)
 
     run(scenario)
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -67,11 +67,11 @@
     target.simulation.net.partitions -= cuts
 
 
-async def late_copies(target: FaultTarget) -> None:
+async def late_duplicates(target: FaultTarget) -> None:
     """A fifth of all POST requests but direct commands arrive a second time, 0.1 to 30 s later.
 
-    A worker cannot tell a late copy of a start command, after the forget command of the attempt,
-    from a new start (docs/questions.md, 10).
+    A worker cannot tell a late duplicate of a start command, after the forget command of the
+    attempt, from a new start (docs/questions.md, 10).
     """
     rng = target.rng
     target.simulation.net.duplicate_rule = lambda source, addr, method, path: (
@@ -116,7 +116,7 @@
     worker.faulty = True
 
 
-async def lose(_target: FaultTarget, worker: Worker) -> None:
+async def terminate(_target: FaultTarget, worker: Worker) -> None:
     """A machine terminates."""
     worker.kill()
 
@@ -131,13 +131,13 @@
     "outage": outage,
     "no workers": cut_from_workers,
     "workers only": cut_from_all_but_workers,
-    "copies": late_copies,
+    "copies": late_duplicates,
     "late boots": late_boots,
 }
 MACHINE_FAULTS: dict[str, MachineFault] = {
     "receives nothing": receive_nothing,
     "hangs": hang,
-    "lost": lose,
+    "lost": terminate,
     "faulty": fail_all_tasks,
     "sends nothing": send_nothing,
 }
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_concurrent_faults_violate_no_invariant(seed: int) -> None:
-    """No invariant is violated, and every job reaches a final status once the faults are over."""
+    """No invariant is violated, and every job reaches a final status once all faults have ended."""
 
     async def scenario(simulation: Simulation) -> None:
         rng = random.Random(seed)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -194,9 +194,9 @@
             faults.delivery("any", "host-1", "/do"),
             faults.delivery("any", "host-2", "/do"),
         )
-        assert held.answer_lost
+        assert held.response_lost
         assert held.delay_s > CANCEL_S
-        assert not free.answer_lost
+        assert not free.response_lost
         assert not faults.delivery("any", "host-1", "/show").delay_s
 
     play(run())
@@ -226,7 +226,7 @@
     faults.not_receiving.add("host-1")
     assert faults.delivery("controller", "host-1", "/do").lost
     faults.late_writes = faults.late_heartbeats = 1.0
-    assert faults.delivery("node-1", STATE, "/multi").answer_lost
+    assert faults.delivery("node-1", STATE, "/multi").response_lost
     assert faults.duplicate_delay_s("/checkin")
     assert faults.duplicate_delay_s("/ready") is None
     faults.clear_all()
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_signal_ends_all_processes(number: signal.Signals) -> None:
+def test_signal_terminates_all_processes_of_a_soak(number: signal.Signals) -> None:
     command = [sys.executable, str(ROOT / "run.py"), "soak", "--seconds", "60"]
     soak = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     try:
@@ -321,7 +321,7 @@
     assert wait_for(lambda: not any(os.path.exists(f"/proc/{child}") for child in children))
 
 
-def test_job_without_answer_after_faults_is_forgotten() -> None:
+def test_job_without_response_after_faults_counts_as_forgotten() -> None:
     async def main() -> None:
         simulation = Simulation()
         await simulation.submit(job("wk-000001", 2))
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -15,7 +15,7 @@
 
 
 def test_leader_with_a_renewed_lease_commands_nothing_before_it_reads_the_state() -> None:
-    """After an outage the lease has its full time again, although the leader's state is stale."""
+    """An outage gives the lease its full duration again, although the leader's state is stale."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 100.0
@@ -55,9 +55,9 @@
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s, simulation.spread_s = 4.0, 45.0
         for n in range(10):
-            crew = ("red", "blue", "guest")[n % 3]
+            team = ("red", "blue", "guest")[n % 3]
             await simulation.submit(
-                job(f"wk-{n:06d}", 2 + n % 2, team=crew, cores=1.0, estimated_run_s=20.0)
+                job(f"wk-{n:06d}", 2 + n % 2, team=team, cores=1.0, estimated_run_s=20.0)
             )
         await simulation.wait_until_running(10)
         for n in range(10):
@@ -192,12 +192,12 @@
     rng = random.Random(seed)
     nonces: dict[int, set[str]] = {}
 
-    def copy(source: str, addr: str, method: str, target: str) -> float | None:
+    def duplicate(source: str, addr: str, method: str, target: str) -> float | None:
         wanted = method != "GET" and (addr.startswith(("state", "cloud")) or target == "/do")
         return rng.uniform(0.02, 6.0) if wanted and rng.random() < 0.6 else None
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.net.duplicate_rule = copy
+        simulation.net.duplicate_rule = duplicate
         for n in range(3):
             await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=20.0)
@@ -243,10 +243,10 @@
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
         simulation.crash(old)
-        at = now()
+        crashed_at = now()
         await simulation.wait_for_leader()
-        assert now() < at + 8.0  # lease, election and reload
-        await asyncio.sleep(at + 90.0 - now())
+        assert now() < crashed_at + 8.0  # lease, election and reload
+        await asyncio.sleep(crashed_at + 90.0 - now())
         simulation.boot(old)
         await simulation.wait_until_over(100.0)
 
@@ -279,7 +279,7 @@
     run(scenario)
 
 
-RESTARTED_S = 8.0  # from the election until all tasks of a lost machine have restarted
+MAX_RESTART_S = 8.0  # from the election until all tasks of a lost machine have restarted
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -308,7 +308,7 @@
             for task_id in lost_task_ids
         ):
             await asyncio.sleep(0.05)
-            assert now() - elected < RESTARTED_S
+            assert now() - elected < MAX_RESTART_S
         simulation.boot(old)
         await simulation.wait_until_over(300.0)
 
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -109,7 +109,7 @@
 
 
 def test_a_higher_priority_job_beyond_the_guarantee_preempts_no_task_within_it() -> None:
-    """The preempted task came first in the order, so it got its own capacity back, in a loop."""
+    """The preempted task was first in the scheduling order and got its capacity back, in a loop."""
 
     async def scenario() -> None:
         simulation = Simulation(1, replace(SMALL, spot=2, on_demand=0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -100,7 +100,7 @@
         await wait_until_settled(simulation)
 
     simulation = run(scenario, deployment)
-    # The crashes cost only the wait for responses: no worker killed tasks at the end of a lease.
+    # Workers waited for responses, but no worker's lease expired, so none killed its tasks.
     assert sum(m.worker.killed_by_lease for m in simulation.cloud.machines.values()) == 0
 
 
@@ -122,7 +122,7 @@
     run(scenario, ONE_ZONE)
 
 
-def test_a_zone_cut_off_for_longer_than_a_lease_is_reported_down() -> None:
+def test_a_zone_unreachable_for_longer_than_a_lease_is_reported_down() -> None:
     async def scenario(simulation: Simulation, load: Load) -> None:
         inside = {n for n in simulation.deployment.nodes if simulation.deployment.zone_of(n) == "c"}
         inside |= {n for n, m in simulation.cloud.machines.items() if m.description.zone == "c"}
@@ -134,8 +134,8 @@
             *simulation.cloud.machines,
         } - inside
         pairs = [(a, b) for a in inside for b in outside if not a[:5] == b[:5] == "host-"]
-        pairs_cut_off = {frozenset(pair) for pair in pairs}
-        simulation.net.partitions |= pairs_cut_off
+        partitioned_pairs = {frozenset(pair) for pair in pairs}
+        simulation.net.partitions |= partitioned_pairs
         await asyncio.sleep(5.0)
         await wait_until_settled(simulation, frozenset(inside))
         await asyncio.sleep(simulation.workers.lease_s + 5.0)
@@ -152,14 +152,14 @@
         path = f"/admin/v1/jobs/{waiting.id}"
         explanation = orjson.loads((await leader.handle_peer("GET", path, b"")).body)["why"]
         assert f"{waiting.pending_count} waiting" in explanation, explanation
-        simulation.net.partitions -= pairs_cut_off
+        simulation.net.partitions -= partitioned_pairs
         await asyncio.sleep(10.0)
 
     run(scenario, THREE_ZONES)
 
 
 def test_a_leader_paused_beyond_its_lease_after_a_rolling_restart_is_replaced() -> None:
-    """A full partition simulates the pause: what arrived during a pause would be stale after it."""
+    """A full partition simulates the pause: requests that wait during a pause would be stale."""
 
     async def scenario(simulation: Simulation, load: Load) -> None:
         for name in simulation.deployment.nodes:
@@ -175,10 +175,10 @@
             *simulation.deployment.nodes,
             *simulation.cloud.machines,
         } - {old}
-        pairs_cut_off = {frozenset((old, other)) for other in others}
-        simulation.net.partitions |= pairs_cut_off
+        partitioned_pairs = {frozenset((old, other)) for other in others}
+        simulation.net.partitions |= partitioned_pairs
         await asyncio.sleep(simulation.workers.lease_s + 6.0)
-        simulation.net.partitions -= pairs_cut_off
+        simulation.net.partitions -= partitioned_pairs
         await wait_until_settled(simulation)
         assert simulation.leader is not None
         assert simulation.leader != old
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -64,8 +64,8 @@
         ) -> ClientResponse:
             nonlocal pages
             pages += target.startswith("/keys?")
-            status, answer = await store.handle("node", method, target, body)
-            return ClientResponse(status, orjson.dumps(answer))
+            status, response = await store.handle("node", method, target, body)
+            return ClientResponse(status, orjson.dumps(response))
 
         for number in range(MACHINE_COUNT):  # one record per machine: several pages of keys
             scale_out = {"t": "small", "z": "a", "s": True, "n": 1, "at": 1.0}
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -140,8 +140,8 @@
 @pytest.mark.parametrize("case", case_names("cloud", "calls"))
 def test_cloud_requests_and_results_match_the_golden_file(case: str) -> None:
     async def scenario() -> None:
-        name, replies = case_input("cloud", "calls", case)
-        requester = ScriptedRequester(*replies)
+        name, responses = case_input("cloud", "calls", case)
+        requester = ScriptedRequester(*responses)
         client = CloudClient(requester.request, "cloud:1", TokenBucket(1e6, 1e6))
         result = await result_or_failure(CLOUD_CALLS[name](client), CLOUD_FAILURES)
         expect("cloud", "calls", case, [requester.requests, result])
@@ -179,8 +179,8 @@
 @pytest.mark.parametrize("case", case_names("state_service", "calls"))
 def test_state_service_requests_and_results_match_the_golden_file(case: str) -> None:
     async def scenario() -> None:
-        name, reply = case_input("state_service", "calls", case)
-        requester = ScriptedRequester(reply)
+        name, response = case_input("state_service", "calls", case)
+        requester = ScriptedRequester(response)
         result = await result_or_failure(STATE_CALLS[name](state_client(requester)), STATE_FAILURES)
         expect("state_service", "calls", case, [requester.requests, result])
 
@@ -189,8 +189,8 @@
 
 def test_watch_cache_reports_keys_and_changes_as_read() -> None:
     async def scenario() -> None:
-        replies = case_input("state_service", "reading", "two pages, then a watch")
-        requester, notified = ScriptedRequester(*replies), []
+        responses = case_input("state_service", "reading", "two pages, then a watch")
+        requester, notified = ScriptedRequester(*responses), []
         cache = WatchCache(state_client(requester), lambda *key: notified.append(list(key)), 0.15)
         await cache.load()
         assert await cache.refresh()
@@ -245,7 +245,7 @@
 def test_command_line_requests_and_output_match_the_golden_file(
     case: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    arguments, replies = case_input("admin", "command line", case)
+    arguments, responses = case_input("admin", "command line", case)
     requests: list[Any] = []
 
     class Connection:
@@ -256,17 +256,17 @@
             requests.append([method, path, body.decode() if body else None, headers])
 
         def getresponse(self) -> Connection:
-            self.status, self.answer = replies[len(requests) // 2 - 1]
+            self.status, self.response_body = responses[len(requests) // 2 - 1]
             return self
 
         def read(self) -> bytes:
-            return orjson.dumps(self.answer)
+            return orjson.dumps(self.response_body)
 
     monkeypatch.setattr(http.client, "HTTPConnection", Connection)
     code = main([*arguments, "--address", "10.0.0.1:8081"])
     printed = capsys.readouterr().out
     if code == 0:
-        assert printed == json.dumps(replies[-1][1], indent=2) + "\n"
+        assert printed == json.dumps(responses[-1][1], indent=2) + "\n"
     expect("admin", "command line", case, [requests, code, printed.splitlines()])
 
 
--- a/tests/test_golden_stored_keys.py
+++ b/tests/test_golden_stored_keys.py
@@ -119,8 +119,8 @@
 
 def test_leader_and_epoch_keys_are_stored_and_read() -> None:
     async def scenario() -> None:
-        replies = case_input("stored_keys", "election", "won, then the token raised")
-        requester = ScriptedRequester(*replies)
+        responses = case_input("stored_keys", "election", "won, then the token raised")
+        requester = ScriptedRequester(*responses)
         client = state_client(requester)
         raised_tokens: list[int] = []
 
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -91,7 +91,7 @@
     play(scenario())
 
 
-# ---- scale-out, scale-in, catalogue, settings --------------------------------------------------
+# ---- scale-out, scale-in, catalog, settings ----------------------------------------------------
 
 
 def test_scale_out_and_scale_in_are_stored_and_sent() -> None:
@@ -120,7 +120,7 @@
     play(scenario())
 
 
-def test_the_stored_catalogue_is_read() -> None:
+def test_the_stored_catalog_is_read() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         simulation.cloud.down = True
@@ -191,7 +191,7 @@
 
 
 def test_structure_of_the_status_during_faults_matches_the_golden_file() -> None:
-    """Responses are lost, a new leader reaches no worker, a follower has no state service."""
+    """Responses are lost, a new leader reaches no worker, a follower no state service."""
     found: dict[str, set[str]] = {}
     operations: set[str] = set()
 
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -1,4 +1,4 @@
-"""Heartbeats and commands that arrive late, and answers that are lost."""
+"""Heartbeats and commands that arrive late, and responses that are lost."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize("after_s", [0.0, 0.3, 1.0, 4.0])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_old_heartbeats_have_no_effect_after_an_election(after_s: float, seed: int) -> None:
-    """Every controller receives up to 30 of them, also of earlier incarnations and attempts.
+    """Every controller receives up to 30 old heartbeats, also of earlier incarnations and attempts.
 
     Neither the tasks that they list nor those that they lack are evidence any more.
     """
@@ -60,8 +60,8 @@
 
 
 @pytest.mark.parametrize("late", [2.0, 9.0, 14.0, 35.0])
-def test_late_copies_of_heartbeats_make_no_lost_machine_schedulable(late: float) -> None:
-    """The copies reach the same, a new or a restarted leader.
+def test_late_duplicates_of_heartbeats_make_no_terminated_machine_schedulable(late: float) -> None:
+    """The duplicates reach the same, a new or a restarted leader.
 
     Some come from former incarnations of workers or from terminated machines.
     """
@@ -87,7 +87,7 @@
         await asyncio.sleep(5.0)
         simulation.crash(await simulation.wait_for_leader())
         await simulation.wait_until_over(200.0)
-        # No copy makes a terminated machine schedulable.
+        # No duplicate makes a terminated machine schedulable.
         await asyncio.sleep(late)
         node = simulation.nodes[await simulation.wait_for_leader()]
         schedulable = {m.name for m in node.fleet.machines.values() if node.fleet.is_schedulable(m)}
@@ -123,7 +123,7 @@
     run(scenario)
 
 
-def test_commands_are_repeated_when_every_third_answer_is_lost() -> None:
+def test_commands_are_repeated_when_every_third_response_is_lost() -> None:
     """Start and forget commands are repeated, and no task runs twice."""
 
     async def scenario(simulation: Simulation) -> None:
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -18,9 +18,8 @@
 from tests.simulation import NODES, Simulation, job
 
 CANCELLED_JOB = "wk-000001"
-VOID_WITHIN_S = (
-    6.0  # after the cancellation: a response timeout of 2 s, two heartbeats, scheduling rounds
-)
+# After the cancellation: a response timeout of 2 s, two heartbeats, scheduling rounds.
+INVALIDATED_WITHIN_S = 6.0
 
 
 def now() -> float:
@@ -29,7 +28,7 @@
 
 
 class DelayedStarts:
-    """Delays direct commands that start a task of ``CANCELLED_JOB``; their answers are lost."""
+    """Delays direct commands that start a task of ``CANCELLED_JOB``; their responses are lost."""
 
     def __init__(self, simulation: Simulation, delay_s: float) -> None:
         """``delay_s``: the delay of each command."""
@@ -68,7 +67,7 @@
 
 
 async def keep_machines_in_use(simulation: Simulation, until: float) -> None:
-    """Submit further jobs, because the return of an idle machine would make its command void."""
+    """Submit further jobs, because the return of an idle machine would invalidate its command."""
     number = 100
     while now() < until:
         number += 1
@@ -87,7 +86,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_start_command_delayed_past_a_cancellation_is_refused_by_its_worker(seed: int) -> None:
-    """As in the incident, the leader stays the same and its answers reach the worker."""
+    """As in the incident, the leader stays the same and its responses reach the worker."""
 
     async def scenario(simulation: Simulation) -> None:
         delayed = DelayedStarts(simulation, simulation.random.uniform(45.0, 300.0))
@@ -98,7 +97,7 @@
         submitting = asyncio.ensure_future(
             keep_machines_in_use(simulation, delayed.arrived_at + 5.0)
         )
-        await asyncio.sleep(VOID_WITHIN_S)
+        await asyncio.sleep(INVALIDATED_WITHIN_S)
         assert simulation.leader == leader
         assert not live_attempt_count(simulation)  # capacity and the team's quota are free again
         await submitting
@@ -112,7 +111,7 @@
 async def machines_receive_nothing(
     simulation: Simulation, delayed: DelayedStarts, leader: str
 ) -> None:
-    """The machines' heartbeats arrive, but no answer or command reaches them."""
+    """The machines' heartbeats arrive, but no response or command reaches them."""
     simulation.net.not_receiving |= set(simulation.cloud.machines)
     await asyncio.sleep(simulation.random.uniform(5.0, 40.0))
     simulation.net.not_receiving.clear()
@@ -132,7 +131,7 @@
 async def writes_are_unanswered(
     simulation: Simulation, delayed: DelayedStarts, leader: str
 ) -> None:
-    """Half of all transactions are applied without an answer, at once or up to 12 s later."""
+    """Half of all transactions are applied without a response, at once or up to 12 s later."""
 
     def unanswered(source: str, address: str, method: str, target: str, body: Any) -> Any:
         if target != "/multi" or simulation.random.random() < 0.5:
@@ -290,7 +289,7 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 2.0, 7.0])
-def test_raised_token_is_adopted_from_a_read_if_its_write_got_no_answer(late_s: float) -> None:
+def test_raised_token_is_adopted_from_a_read_if_its_write_got_no_response(late_s: float) -> None:
     """Peers may read the token before the leader does, which must not depose the leader."""
 
     async def scenario(simulation: Simulation) -> None:
@@ -301,8 +300,10 @@
 
         def delivery(source: str, address: str, method: str, target: str, body: Any) -> Any:
             nonlocal lost
-            raises = target == "/multi" and any(op.get("put") == "pt/epoch" for op in body["apply"])
-            if source == leader and raises and not lost:
+            is_raise = target == "/multi" and any(
+                op.get("put") == "pt/epoch" for op in body["apply"]
+            )
+            if source == leader and is_raise and not lost:
                 lost += 1
                 return late_s, True
             return 0.0, False
@@ -333,8 +334,8 @@
 
         def delivery(source: str, address: str, method: str, target: str, body: Any) -> Any:
             nonlocal refused
-            starts = target == "/do" and body["orders"]
-            if starts and body["baton"] < node.election.epoch + 1:
+            has_commands = target == "/do" and body["orders"]
+            if has_commands and body["baton"] < node.election.epoch + 1:
                 refused += 1
                 return 1.5, False  # longer than raising the token and a heartbeat take
             return 0.0, False
@@ -389,7 +390,7 @@
 
 
 def test_leader_does_not_step_down_when_peers_report_its_own_raised_token() -> None:
-    """For 2 s the leader gets no answer to its write or its watch, while peers read the token."""
+    """For 2 s the leader gets no response to its write or its watch, while peers read the token."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(job("wk-000002", 2))
--- a/tests/test_lost_transactions.py
+++ b/tests/test_lost_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions whose answer is lost and that are applied at once, late or twice."""
+"""Transactions whose response is lost and that are applied at once, late or twice."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from petrelthread.leadership import Role
-from tests.scenario import cancel_at, lost_transaction_answers, now, query_all_controllers, run
+from tests.scenario import cancel_at, lose_transaction_responses, now, query_all_controllers, run
 from tests.simulation import NODES, Simulation, job
 from tests.virtual import play
 
@@ -16,7 +16,7 @@
 def delay_or_lose_transactions(simulation: Simulation, fault: str) -> None:
     """Set the delivery rule if the fault concerns transactions."""
     if fault in ("lost", "late"):
-        simulation.net.delivery_rule = lost_transaction_answers(simulation, 0.3, fault == "late")
+        simulation.net.delivery_rule = lose_transaction_responses(simulation, 0.3, fault == "late")
     elif fault == "slow":
         simulation.net.delivery_rule = lambda source, addr, method, target, body: (
             (simulation.random.uniform(0.0, 0.8), False) if addr == "state:1" else (0.0, False)
@@ -65,7 +65,7 @@
 def test_no_controller_returns_an_older_status_than_another_has_returned(
     fault: str, seed: int
 ) -> None:
-    """Once a job is known as accepted, done or cancelled, no controller answers an older status."""
+    """Once a job is known as accepted, done or cancelled, no controller returns an older status."""
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.wait_for_leader()
@@ -84,17 +84,17 @@
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_jobs_complete_when_transactions_get_no_answer_and_leaders_crash(
+def test_jobs_complete_when_transactions_get_no_response_and_leaders_crash(
     late: bool, seed: int
 ) -> None:
-    """35 % of all transactions get no answer, and late ones are applied after newer ones.
+    """35 % of all transactions get no response, and late ones are applied after newer ones.
 
     They write submissions, cancellations, claims, elections and final statuses.
     """
 
     async def scenario(simulation: Simulation) -> None:
         simulation.spread_s = 6.0
-        simulation.net.delivery_rule = lost_transaction_answers(simulation, 0.35, late)
+        simulation.net.delivery_rule = lose_transaction_responses(simulation, 0.35, late)
         for n in range(6):
             await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
@@ -168,8 +168,8 @@
 
 
 @pytest.mark.parametrize("role", [Role.LEADING, Role.LEASE_GRACE])
-def test_late_copy_of_a_settled_round_starts_no_task(role: Role) -> None:
-    """The marker of a settled round is deleted, so the state service does not refuse a copy."""
+def test_late_duplicate_of_a_settled_round_starts_no_task(role: Role) -> None:
+    """The marker of a settled round is deleted, so the state service accepts a duplicate."""
 
     async def main() -> None:
         simulation = Simulation()
@@ -222,8 +222,10 @@
             simulation.boot(name)
         await asyncio.sleep(3.0)
         for job_id, final in (("wk-000001", "done"), ("wk-000002", "aborted")):
-            status, answer = await simulation.ask("n1", "POST", "/v2/runs", simulation.jobs[job_id])
-            assert (status, answer["status"]) == (200, final)
+            status, response = await simulation.ask(
+                "n1", "POST", "/v2/runs", simulation.jobs[job_id]
+            )
+            assert (status, response["status"]) == (200, final)
         assert (await simulation.ask("n2", "GET", "/v2/runs/wk-999999"))[0] == 404
 
     run(scenario)
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -47,7 +47,7 @@
 
 
 def test_leader_that_still_leads_after_a_pause_returns_no_machine() -> None:
-    """An outage gives the lease its full time again, although no heartbeat came in the pause."""
+    """An outage gives the lease its full duration again, though no heartbeat came in the pause."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Services: replicas run until their job is cancelled, and each lost one is started again."""
+"""Services: replicas run until their job is cancelled, and each lost replica restarts."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 async def cancel_services(simulation: Simulation) -> None:
-    """No service has ended so far; cancel all, and require that their replicas stop."""
+    """Require that no service has a final status; cancel all; require that their replicas stop."""
     await simulation.poll()
     for job_id, spec in simulation.jobs.items():
         if spec["shape"] == "service" and job_id not in simulation.checker.cancelled_at:
@@ -78,8 +78,8 @@
         await wait_for_all_replicas(simulation, 20.0)
         await asyncio.sleep(60.0)
         assert not replicas_not_running(simulation)
-        status, answer = await simulation.ask("n1", "GET", "/v2/runs/wk-000001")
-        assert (status, answer["status"], answer["done"], answer["running"]) == (
+        status, response = await simulation.ask("n1", "GET", "/v2/runs/wk-000001")
+        assert (status, response["status"], response["done"], response["running"]) == (
             200,
             "running",
             0,
@@ -153,7 +153,7 @@
             await asyncio.sleep(8.0)
             simulation.state_service.set_outage(False)
         lost_at = now()
-        # On a machine that is cut off or hangs, the old attempt runs until its lease expires.
+        # On a machine that is partitioned or hangs, the old attempt runs until its lease expires.
         while simulation.checker.start_count == start_count_before:
             await asyncio.sleep(0.1)
             assert now() < lost_at + 40.0
@@ -304,7 +304,7 @@
     run(scenario)
 
 
-def test_a_leader_cut_off_from_all_workers_is_replaced_and_terminates_no_machine() -> None:
+def test_a_leader_partitioned_from_all_workers_is_replaced_and_terminates_no_machine() -> None:
     """The machines work and the other controllers get their heartbeats: the leader is at fault."""
 
     async def scenario(simulation: Simulation) -> None:
