--- a/petrelthread/admin/alerts.py
+++ b/petrelthread/admin/alerts.py
@@ -29,7 +29,7 @@
 
         Args:
             conditions: all active conditions: kind to the text to log.
-            now: the event loop's time in seconds.
+            now: event loop time in seconds.
         """
         for kind, text in conditions.items():
             alert = self.active.setdefault(kind, Alert(now, logged=False))
--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 ADMIN_PREFIX = "/admin/v1/"
-DIRECT_QUERY = "direct=1"  # query that asks for a local answer, also from a follower
+DIRECT_QUERY = "direct=1"  # query that asks for a local response, also from a follower
 FORWARD_TIMEOUT_S = 1.5
 
 
@@ -34,7 +34,7 @@
         }
 
     async def handle(self, method: str, target: str, body: bytes) -> Response:
-        """Answer one request; ``target`` begins with ``ADMIN_PREFIX``."""
+        """Handle one request; ``target`` begins with ``ADMIN_PREFIX``."""
         path, _, query = target.partition("?")
         view, _, name = path.removeprefix(ADMIN_PREFIX).partition("/")
         if view == "settings" and not name:
@@ -48,7 +48,7 @@
         # controllers.
         await self._parts.watch_cache.refresh()
         forwarded = None if DIRECT_QUERY in query else await self._forward_to_leader(path)
-        return forwarded or self._answer_locally(view, name)
+        return forwarded or self._respond_locally(view, name)
 
     async def _forward_to_leader(self, path: str) -> Response | None:
         """Return the leader's response; None if this controller leads or there is no response."""
@@ -56,15 +56,15 @@
         if self._parts.election.is_leader or not address:
             return None
         try:
-            answer = await self._request(
+            response = await self._request(
                 address, "GET", f"{path}?{DIRECT_QUERY}", timeout=FORWARD_TIMEOUT_S
             )
         except NoResponseError as error:
-            log.info("no response from the leader, answering from local state: %s", error)
+            log.info("no response from the leader, responding from local state: %s", error)
             return None
-        return Response(answer.status, answer.body)
+        return Response(response.status, response.body)
 
-    def _answer_locally(self, view: str, name: str) -> Response:
+    def _respond_locally(self, view: str, name: str) -> Response:
         now = asyncio.get_running_loop().time()
         if view == "status":
             return json_response(200, views.status_view(self._parts, now))
--- a/petrelthread/admin/conditions.py
+++ b/petrelthread/admin/conditions.py
@@ -28,9 +28,9 @@
     LATE_STARTS = "late starts"
     LATE_BOOTS = "boots"
     PARTITIONED_MACHINES = "deaf"
-    FAILING_JOBS = "suspects"
+    SUSPECT_JOBS = "suspects"
     RESERVED_MACHINES = "held"
-    CUT_OFF_ZONES = "zones"
+    UNREACHABLE_ZONES = "zones"
 
 
 def active_conditions(parts: ControllerParts, now: float) -> dict[str, str]:
@@ -48,8 +48,8 @@
     )
 
 
-def cut_off_zone_names(parts: ControllerParts) -> str:
-    """Return the names of the zones that are cut off, separated by commas."""
+def unreachable_zone_names(parts: ControllerParts) -> str:
+    """Return the names of the unreachable zones, separated by commas."""
     names = parts.cluster_state.names.zones
     return ", ".join(names.name(zone) for zone in sorted(parts.zone_monitor.cut_off_since))
 
@@ -121,17 +121,17 @@
     return f"{count} machines report but do not hear us" if count else ""
 
 
-def _failing_jobs(parts: ControllerParts, _now: float) -> str:
-    failing = [
+def _suspect_jobs(parts: ControllerParts, _now: float) -> str:
+    suspects = [
         job.id
         for job in parts.cluster_state.open_jobs.values()
         if parts.fleet.job_failures.is_suspect(job)
     ]
-    if not failing:
+    if not suspects:
         return ""
-    names = ", ".join(failing[:MAX_NAMED_JOBS])
-    more = ", ..." if len(failing) > MAX_NAMED_JOBS else ""
-    return f"{len(failing)} jobs fail everywhere until they are cancelled: {names}{more}"
+    names = ", ".join(suspects[:MAX_NAMED_JOBS])
+    more = ", ..." if len(suspects) > MAX_NAMED_JOBS else ""
+    return f"{len(suspects)} jobs fail everywhere until they are cancelled: {names}{more}"
 
 
 def _reserved_machines(parts: ControllerParts, _now: float) -> str:
@@ -139,8 +139,8 @@
     return f"{count} jobs should have begun: a machine is kept for each" if count else ""
 
 
-def _cut_off_zones(parts: ControllerParts, _now: float) -> str:
-    names = cut_off_zone_names(parts)
+def _unreachable_zones(parts: ControllerParts, _now: float) -> str:
+    names = unreachable_zone_names(parts)
     return f"cut off: {names}" if names else ""
 
 
@@ -157,7 +157,7 @@
     ConditionKind.LATE_STARTS: _late_starts,
     ConditionKind.LATE_BOOTS: _late_boots,
     ConditionKind.PARTITIONED_MACHINES: _partitioned_machines,
-    ConditionKind.FAILING_JOBS: _failing_jobs,
+    ConditionKind.SUSPECT_JOBS: _suspect_jobs,
     ConditionKind.RESERVED_MACHINES: _reserved_machines,
-    ConditionKind.CUT_OFF_ZONES: _cut_off_zones,
+    ConditionKind.UNREACHABLE_ZONES: _unreachable_zones,
 }
--- a/petrelthread/admin/controller_parts.py
+++ b/petrelthread/admin/controller_parts.py
@@ -53,7 +53,7 @@
 
     @property
     def zone_monitor(self) -> ZoneMonitor:
-        """Detects zones that are cut off."""
+        """Detects unreachable zones."""
 
     @property
     def view(self) -> ClusterView:
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -6,8 +6,8 @@
 from petrelthread.admin.conditions import (
     STATE_SERVICE_TIMEOUT_S,
     ConditionKind,
-    cut_off_zone_names,
     partitioned_machine_count,
+    unreachable_zone_names,
 )
 from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.fleet import Health
@@ -18,7 +18,7 @@
 
 
 def is_unreachable(parts: ControllerParts, attempt: Attempt) -> bool:
-    """Return whether its machine is unresponsive or terminating; the attempt may still run."""
+    """Return whether the attempt's machine is unresponsive or terminating; it may still run."""
     machine = parts.fleet.machines.get(attempt.machine)
     return machine is not None and machine.health in (Health.UNRESPONSIVE, Health.TERMINATING)
 
@@ -45,7 +45,7 @@
     progress = _progress(parts, job)
     if job.pending_count == 0:
         return f"{progress}; {_explain_live_attempts(parts, job, now)}"
-    causes = (_failing_repeatedly, _over_team_limit, _has_room, _lacks_capacity)
+    causes = (_failing_repeatedly, _exceeds_quota, _has_capacity, _lacks_capacity)
     cause = next(filter(None, (explain(parts, job, now) for explain in causes)), "")
     return f"{progress}, {job.pending_count} waiting: {cause}"
 
@@ -110,7 +110,7 @@
     return ""
 
 
-def _over_team_limit(parts: ControllerParts, job: Job, _now: float) -> str:
+def _exceeds_quota(parts: ControllerParts, job: Job, _now: float) -> str:
     team = parts.view.teams[job.team]
     used_cores = parts.view.team_usage()[job.team].cores
     if used_cores + job.cores <= team.most_cores + CORES_TOLERANCE:
@@ -123,7 +123,7 @@
     return [*capacity.usable.machines.values(), *capacity.surplus.machines.values()]
 
 
-def _has_room(parts: ControllerParts, job: Job, _now: float) -> str:
+def _has_capacity(parts: ControllerParts, job: Job, _now: float) -> str:
     request = parts.view.placement_request(job)
     fitting = [
         candidate
@@ -159,7 +159,7 @@
     ]
     partitioned = partitioned_machine_count(parts)
     late = parts.provisioner.late_boot_count(now)
-    cut_off = cut_off_zone_names(parts)
+    unreachable = unreachable_zone_names(parts)
     reasons = {
         f"the cloud has no more {', '.join(refused)}": bool(refused),
         f"{partitioned} machines report but do not hear us": partitioned > 0,
@@ -167,6 +167,6 @@
         "it has neither a deadline nor an objective, and others' work comes first": (
             not parts.view.has_objectives(job)
         ),
-        f"cut off: {cut_off}": bool(cut_off),
+        f"cut off: {unreachable}": bool(unreachable),
     }
     return [reason for reason, applies in reasons.items() if applies]
--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration API on simulated controllers, and the command line's errors."""
+"""Tests of the administration API on simulated controllers, and of the command line's errors."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 async def admin(simulation: Simulation, node: str, method: str, path: str, body: Any = None) -> Any:
     addr = f"{node}:2"
     request = simulation.net.requester("operator")
-    reply: ClientResponse = await request(addr, method, f"/admin/v1/{path}", body, timeout=5.0)
-    return reply.status, orjson.loads(reply.body)
+    response: ClientResponse = await request(addr, method, f"/admin/v1/{path}", body, timeout=5.0)
+    return response.status, orjson.loads(response.body)
 
 
-def test_views_explain_a_waiting_job_and_report_a_zone_down() -> None:
+def test_views_explain_a_waiting_job_and_show_an_unreachable_zone() -> None:
     async def scenario() -> None:
         simulation = Simulation()
         await simulation.submit(job("wk-000001", 20, estimated_run_s=60.0))
         await asyncio.sleep(2.0)
-        _, answer = await admin(simulation, "n1", "GET", "jobs/wk-000001")
-        assert "booting" in answer["why"]
+        _, response = await admin(simulation, "n1", "GET", "jobs/wk-000001")
+        assert "booting" in response["why"]
         await simulation.wait_until_running(6)
         for node in NODES:  # followers forward the request to the leader
-            _, answer = await admin(simulation, node, "GET", "jobs/wk-000001")
-            assert "team red uses 12 of its limit of 12 cores" in answer["why"], answer["why"]
+            _, response = await admin(simulation, node, "GET", "jobs/wk-000001")
+            assert "team red uses 12 of its limit of 12 cores" in response["why"], response["why"]
         assert (await admin(simulation, "n0", "GET", "jobs/wk-000099"))[0] == 404
-        _, answer = await admin(simulation, "n2", "GET", "status")
-        assert answer["leader"] == await simulation.wait_for_leader()
-        assert answer["backlog"]["batch"]["jobs"] == 1
-        assert sum(t["cores"] for t in answer["teams"]) == 12.0
+        _, response = await admin(simulation, "n2", "GET", "status")
+        assert response["leader"] == await simulation.wait_for_leader()
+        assert response["backlog"]["batch"]["jobs"] == 1
+        assert sum(t["cores"] for t in response["teams"]) == 12.0
         simulation.net.partitions |= {
             frozenset((m, n)) for m in simulation.cloud.machines for n in NODES
         }
         zone_texts: set[str] = set()
         for _ in range(30):
             await asyncio.sleep(0.5)
-            _, answer = await admin(simulation, "n0", "GET", "zones")
-            zone_texts |= {z["says"] for z in answer["zones"]}
+            _, response = await admin(simulation, "n0", "GET", "zones")
+            zone_texts |= {z["says"] for z in response["zones"]}
         assert any(says.startswith("DOWN") for says in zone_texts)
 
     play(scenario())
@@ -64,7 +64,7 @@
         assert (await put("colour", 1, 0))[0] == 400
         assert (await put("idle_s", 7, "x"))[0] == 400
         assert (await admin(simulation, "n1", "PUT", "settings", []))[0] == 400
-        status, answer = await put("idle_s", 7, 0)
+        status, response = await put("idle_s", 7, 0)
         assert status == 200
         assert (await put("idle_s", 8, 0))[0] == 409
         await asyncio.sleep(1.0)
@@ -73,7 +73,7 @@
             7.0,
             7.0,
         ]
-        assert (await put("idle_s", None, answer["version"]))[0] == 200
+        assert (await put("idle_s", None, response["version"]))[0] == 200
         await asyncio.sleep(1.0)
         assert simulation.nodes["n2"].provisioning_options.spot_idle_s != 7.0
 
--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -18,7 +18,7 @@
 from petrelthread.state import ClusterState, Job, JobRecord, KeyKind, encode, epoch_base_number
 
 EPOCH = 3
-CORES = 4.0
+MACHINE_CORES = 4.0
 TASK_CORES = 2.0
 IMAGES = 20
 RUNNING_JOBS = 20  # fixed, so that benchmark runs differ in the number of machines only
@@ -58,7 +58,7 @@
 
 MACHINE_TYPE = protocol.MachineType(
     name="small",
-    cores=CORES,
+    cores=MACHINE_CORES,
     accelerators=0.0,
     ram_gb=8.0,
     local_disk_gb=40.0,
@@ -76,7 +76,7 @@
 
 
 class PopulatedLeader:
-    """A leading controller with ``machines`` machines: half of them full, half of them empty."""
+    """A controller that leads, with ``machines`` machines: half of them full, half empty."""
 
     def __init__(self, machines: int, seed: int = 1) -> None:
         self.settings: Settings = parse(SETTINGS)
@@ -134,12 +134,13 @@
 
     def _run_tasks(self, number: int, machine: int) -> list[protocol.TaskReport]:
         tasks = []
-        for _ in range(int(CORES / TASK_CORES)):
+        for _ in range(int(MACHINE_CORES / TASK_CORES)):
             if not self._job_count or self.state.jobs[-1].pending_count == 0:
                 self.accept(self._tasks_per_job, self._random.randrange(IMAGES))
             job = self.state.jobs[-1]
             task = next(job.pending_tasks())
-            attempt = epoch_base_number(EPOCH - 1) + 1 + number  # of the previous epoch, settled
+            # A round of the previous epoch; the machine's heartbeat confirms its attempts.
+            attempt = epoch_base_number(EPOCH - 1) + 1 + number
             self.state.add_attempt(attempt, job, task, machine, 1)
             task_id = protocol.task_id(job.id, task)
             tasks.append(protocol.TaskReport(task_id, attempt, protocol.TaskState.RUNNING))
--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -19,13 +19,13 @@
     pack_round_records,
 )
 
-SIZES = (600, 1200, 2400, 4000, 8000)
+MACHINE_COUNTS = (600, 1200, 2400, 4000, 8000)
 ROUNDS = 30
 PLANS = 10
 RELOADS = 5
 MACHINES_PER_WAITING_JOB = 40
 HEARTBEAT_TIMEOUT_S = 14.0
-MACHINES_CHANGED = 5  # machines that change between two rounds
+MACHINES_CHANGED = 5  # between two rounds
 MAX_RECORD_BYTES = 3400
 MS_PER_S = 1000.0
 PERCENTILE = 0.99
@@ -54,7 +54,7 @@
 
 
 def _change_some_machines(leader: PopulatedLeader) -> None:
-    """Clear the cached images of a few machines, in place of the changes between two rounds."""
+    """Clear the cached images of a few machines, to simulate changes between two rounds."""
     machines = list(leader.controller.fleet.machines.values())
     for machine in machines[:MACHINES_CHANGED]:
         machine.forget_images()
@@ -133,11 +133,11 @@
     return timings
 
 
-def bench_rounds(sizes: Sequence[int] = SIZES) -> int:
+def bench_rounds(machine_counts: Sequence[int] = MACHINE_COUNTS) -> int:
     """Print a table of timings and return 0, however long the work took."""
     print(f"{'work':26} {'machines':>8} {'median ms':>10} {'p99 ms':>9} {'to smallest':>12}")
     baseline_median_ms: dict[str, float] = {}
-    for machines in sizes:
+    for machines in machine_counts:
         for timing in measure(machines):
             ratio = timing.median_ms / baseline_median_ms.setdefault(timing.work, timing.median_ms)
             print(
--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -135,9 +135,9 @@
 
 
 def _bench_rounds(args: argparse.Namespace) -> int:
-    from petrelthread.benchmark.rounds import SIZES, bench_rounds
+    from petrelthread.benchmark.rounds import MACHINE_COUNTS, bench_rounds
 
-    return bench_rounds(args.machines or SIZES)
+    return bench_rounds(args.machines or MACHINE_COUNTS)
 
 
 def _operate(args: argparse.Namespace) -> int:
--- a/petrelthread/cli/operate.py
+++ b/petrelthread/cli/operate.py
@@ -70,7 +70,7 @@
 def _settings(args: argparse.Namespace) -> int:
     status, current = request(args.address, "GET", ADMIN_PREFIX + "settings")
     if status != HTTPStatus.OK or args.action == "get":
-        return _print(args, status, current, lambda answer: render.settings(answer, args.name))
+        return _print(args, status, current, lambda body: render.settings(body, args.name))
     try:
         value = None if args.value == "default" else float(args.value)
     except ValueError:
@@ -78,8 +78,8 @@
         return EXIT_BAD_ARGUMENT
     version = current["version"] if args.version is None else args.version
     change = {"name": args.name, "value": value, "version": version}
-    answer = request(args.address, "PUT", ADMIN_PREFIX + "settings", change)
-    return _print(args, *answer, render.changed_setting)
+    response = request(args.address, "PUT", ADMIN_PREFIX + "settings", change)
+    return _print(args, *response, render.changed_setting)
 
 
 _COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
@@ -90,9 +90,9 @@
 }
 
 
-def _print(args: argparse.Namespace, status: int, answer: Any, text: Callable[[Any], str]) -> int:
+def _print(args: argparse.Namespace, status: int, body: Any, text: Callable[[Any], str]) -> int:
     if status != HTTPStatus.OK:
-        print(f"petrelthread: {answer.get('error', answer)}", file=sys.stderr)
+        print(f"petrelthread: {body.get('error', body)}", file=sys.stderr)
         return EXIT_CODES.get(status, EXIT_FAILED)
-    print(json.dumps(answer, indent=2) if args.json else text(answer))
+    print(json.dumps(body, indent=2) if args.json else text(body))
     return 0
--- a/petrelthread/cli/render.py
+++ b/petrelthread/cli/render.py
@@ -9,30 +9,28 @@
 JsonObject = dict[str, Any]
 
 
-def zones(answer: JsonObject) -> str:
+def zones(body: JsonObject) -> str:
     """Render one line per zone."""
     return "\n".join(
         f"zone {zone['zone']:<16} {zone['says']} ({zone['up']} up, {zone['booting']} booting)"
-        for zone in answer["zones"]
+        for zone in body["zones"]
     )
 
 
-def job(answer: JsonObject) -> str:
+def job(body: JsonObject) -> str:
     """Render a job's status and why it waits."""
-    return f"{answer['job']} ({answer['status']}, {answer['age_s']:.0f} s old): {answer['why']}"
+    return f"{body['job']} ({body['status']}, {body['age_s']:.0f} s old): {body['why']}"
 
 
-def changed_setting(answer: JsonObject) -> str:
+def changed_setting(body: JsonObject) -> str:
     """Render a setting that has just been changed."""
-    return f"{answer['name']} = {answer['value']} (version {answer['version']})"
+    return f"{body['name']} = {body['value']} (version {body['version']})"
 
 
-def settings(answer: JsonObject, name: str | None) -> str:
+def settings(body: JsonObject, name: str | None) -> str:
     """Render all settings, or the one with this name."""
-    lines = [f"version {answer['version']}"]
-    lines += [
-        _setting(setting) for setting in answer["settings"] if name in (None, setting["name"])
-    ]
+    lines = [f"version {body['version']}"]
+    lines += [_setting(setting) for setting in body["settings"] if name in (None, setting["name"])]
     return "\n".join(lines)
 
 
@@ -44,27 +42,27 @@
     )
 
 
-def status(answer: JsonObject) -> str:
+def status(body: JsonObject) -> str:
     """Render the status view; it fits on one screen."""
     lines = [
-        f"leader {answer['leader'] or 'none'}, epoch {answer['epoch']}; asked {answer['node']}"
-        f" ({answer['role']}), state service {_reachable(answer)}"
+        f"leader {body['leader'] or 'none'}, epoch {body['epoch']}; asked {body['node']}"
+        f" ({body['role']}), state service {_reachable(body)}"
     ]
     lines += [
         f"  {sibling['node']}: heard {sibling['heard_s_ago']} s ago,"
         f" state service {_reachable(sibling)}"
-        for sibling in answer["siblings"]
+        for sibling in body["siblings"]
     ]
-    lines.append(zones(answer))
-    machines = (f"{count} {health}" for health, count in answer["machines"].items())
+    lines.append(zones(body))
+    machines = (f"{count} {health}" for health, count in body["machines"].items())
     lines.append("machines: " + ", ".join(machines))
-    lines += [_backlog(name, entry) for name, entry in sorted(answer["backlog"].items())]
-    lines += [_team(team) for team in answer["teams"] if team["cores"]]
+    lines += [_backlog(name, entry) for name, entry in sorted(body["backlog"].items())]
+    lines += [_team(team) for team in body["teams"] if team["cores"]]
     lines += [
         f"TROUBLE for {trouble['for_s']:.0f} s: {trouble['trouble']}"
-        for trouble in answer["troubles"]
+        for trouble in body["troubles"]
     ]
-    lines += _operations(answer["operations"])
+    lines += _operations(body["operations"])
     return "\n".join(lines)
 
 
@@ -90,7 +88,7 @@
 
 
 def _operations(operations: list[JsonObject]) -> list[str]:
-    """Render the oldest only: a failover can leave one for each of hundreds of machines."""
+    """Render the oldest operations; a failover can leave one for each of hundreds of machines."""
     oldest = sorted(operations, key=lambda operation: -operation["age_s"])
     lines = [
         f"unknown: {operation['operation']}, {operation['age_s']} s; awaits {operation['awaits']}"
--- a/petrelthread/cli/test_operate.py
+++ b/petrelthread/cli/test_operate.py
@@ -1,4 +1,4 @@
-"""Output and exit codes of the operators' commands."""
+"""Tests of the output and exit codes of the operators' commands."""
 
 from __future__ import annotations
 
--- a/petrelthread/http/client.py
+++ b/petrelthread/http/client.py
@@ -83,7 +83,7 @@
         return response
 
     def _take_idle(self, addr: str) -> ClientConnection | None:
-        """Take the most recently used idle connection that still works; close those that do not."""
+        """Take the newest idle connection that is fresh and open; close those that are not."""
         pool = self._idle.get(addr)
         now = asyncio.get_running_loop().time()
         while pool:
--- a/petrelthread/http/client_connection.py
+++ b/petrelthread/http/client_connection.py
@@ -28,7 +28,7 @@
         self._reader = reader
         self._writer = writer
         self._parser = h11.Connection(h11.CLIENT)
-        self.idle_since = 0.0  # on the event loop's clock
+        self.idle_since = 0.0  # event loop time
 
     @classmethod
     async def open(cls, host: str, port: int) -> Self:
--- a/petrelthread/http/connection_table.py
+++ b/petrelthread/http/connection_table.py
@@ -51,7 +51,7 @@
     def close_stale(self) -> None:
         """Close the connection that has been idle the longest, if it is stale.
 
-        Partitioned and preempted workers leave their connections half open.
+        Partitioned workers and reclaimed spot machines leave their connections half open.
         """
         longest_idle = next(iter(self._idle_since), None)
         now = asyncio.get_running_loop().time()
--- a/petrelthread/http/load_shedder.py
+++ b/petrelthread/http/load_shedder.py
@@ -23,7 +23,7 @@
 MIN_COST_S = 1e-6  # avoids a division by zero
 COST_WEIGHT = 0.05  # of the newest time slice in the average cost of a request
 MAX_WAIT_S = 2.5  # requests of workers time out after 4 s, those of users after 5 s
-USER_REQUEST_INTERVAL = 4  # one in so many delayed requests admitted is a user's, if one waits
+USER_REQUEST_INTERVAL = 4  # of this many delayed requests admitted, one is a user's if any waits
 
 
 class RequestSource(Enum):
@@ -49,7 +49,7 @@
 class LoadShedder:
     """Decides when each request is served, or that it is shed. Use one per event loop.
 
-    Times are on the given clock, which is the event loop's by default.
+    Times are those of the given clock, by default event loop time.
     """
 
     def __init__(
--- a/petrelthread/http/responses.py
+++ b/petrelthread/http/responses.py
@@ -40,7 +40,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def _encode_head(status: int, length: int, retry_after_s: int | None, close: bool) -> bytes:
-    """Encode status line and headers; cached, as h11 is slow compared with a heartbeat's rest."""
+    """Encode status line and headers; cached, as h11 is slow compared with heartbeat handling."""
     headers = [("Content-Type", "application/json"), ("Content-Length", str(length))]
     if retry_after_s is not None:
         headers.append(("Retry-After", str(retry_after_s)))
--- a/petrelthread/http/server.py
+++ b/petrelthread/http/server.py
@@ -32,7 +32,7 @@
 
         Args:
             handler: Awaited with method, target and body of each request. An exception that it
-                raises is logged and answered with status 503.
+                raises is logged, and the response has status 503.
             max_connections: How many connections may be open at the same time.
             stale_after_s: How long a connection may be idle before a new one may replace it.
             load_shedder: Admits requests; by default one for this server alone.
--- a/petrelthread/http/server_connection.py
+++ b/petrelthread/http/server_connection.py
@@ -80,7 +80,7 @@
         self._parser = _new_parser()
 
     async def serve(self) -> None:
-        """Answer requests until either side closes the connection.
+        """Respond to requests until either side closes the connection.
 
         Raises:
             OSError: The connection failed.
@@ -194,6 +194,6 @@
             self._parser.receive_data(unread)
 
     async def _refuse(self, reason: str) -> None:
-        """Answer a malformed request with status 400; the caller reads no further requests."""
+        """Respond to a malformed request with status 400; the caller reads no further requests."""
         self._writer.write(encode_response(error_response(400, reason), close=True))
         await self._writer.drain()
--- a/petrelthread/http/socket_budget.py
+++ b/petrelthread/http/socket_budget.py
@@ -11,13 +11,13 @@
 
 MIN_SOCKET_LIMIT = 64  # lower limits are raised to this
 RESERVED_SOCKETS = 16  # open files, listening sockets, connections being closed
-MIN_SHARE = 8  # sockets for any purpose
-PEER_BASE = 8  # for operators, besides the siblings
-OUTGOING_BASE = 40  # besides those to siblings
+MIN_SHARE_SOCKETS = 8  # for each purpose
+OPERATOR_SOCKETS = 8  # incoming, on the peer address
+OUTGOING_SOCKETS = 40  # to the state service and the cloud
 SOCKETS_PER_SIBLING = 2
 PEER_LIMIT_DIVISOR = 10  # peers get at most a tenth of the sockets
 OUTGOING_LIMIT_DIVISOR = 5  # outgoing connections get at most a fifth
-COMMAND_SHARE = 0.1  # of the sockets
+COMMAND_SHARE = 0.1  # part of the sockets for commands to workers
 
 
 class SocketBudget(NamedTuple):
@@ -33,11 +33,11 @@
     """Divide ``limit`` sockets; the public address gets what the other purposes leave."""
     available = max(MIN_SOCKET_LIMIT, limit) - RESERVED_SOCKETS
     for_siblings = SOCKETS_PER_SIBLING * siblings
-    outgoing = _bounded_share(OUTGOING_BASE + for_siblings, available // OUTGOING_LIMIT_DIVISOR)
-    peers = _bounded_share(PEER_BASE + for_siblings, available // PEER_LIMIT_DIVISOR)
-    commands = max(MIN_SHARE, int(available * COMMAND_SHARE))
+    outgoing = _bounded_share(OUTGOING_SOCKETS + for_siblings, available // OUTGOING_LIMIT_DIVISOR)
+    peers = _bounded_share(OPERATOR_SOCKETS + for_siblings, available // PEER_LIMIT_DIVISOR)
+    commands = max(MIN_SHARE_SOCKETS, int(available * COMMAND_SHARE))
     return SocketBudget(available - outgoing - peers - commands, peers, outgoing, commands)
 
 
 def _bounded_share(wanted: int, maximum: int) -> int:
-    return max(MIN_SHARE, min(wanted, maximum))
+    return max(MIN_SHARE_SOCKETS, min(wanted, maximum))
--- a/petrelthread/http/test_client.py
+++ b/petrelthread/http/test_client.py
@@ -52,8 +52,8 @@
 
         async def request_to(host: int) -> None:
             try:
-                reply = await client.request(f"127.0.0.{host}:{port}", "GET", "/", timeout=5.0)
-                assert reply.status == 200
+                response = await client.request(f"127.0.0.{host}:{port}", "GET", "/", timeout=5.0)
+                assert response.status == 200
             except NoResponseError as error:
                 raise AssertionError(str(error)) from None
 
--- a/petrelthread/http/test_connection_limit.py
+++ b/petrelthread/http/test_connection_limit.py
@@ -7,7 +7,7 @@
 
 from petrelthread.http import Response, Server, json_response
 
-# Loopback address of this process alone; on 127.0.0.1 connections of others would count too.
+# A loopback address for this process alone; on 127.0.0.1 other processes' connections count too.
 HOST = f"127.{os.getpid() >> 16 & 127 | 128}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
 GET = b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/petrelthread/http/test_load_shedder.py
+++ b/petrelthread/http/test_load_shedder.py
@@ -1,4 +1,4 @@
-"""Tests that requests take a bounded time per event loop iteration, and of their order."""
+"""Tests of the time that requests take per event loop iteration, and of their order."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
             await asyncio.sleep(0)
 
 
-def play(load: Load, sources: list[RequestSource]) -> None:
+def run_load(load: Load, sources: list[RequestSource]) -> None:
     async def main() -> None:
         counting = asyncio.create_task(load.count_iterations())
         await asyncio.gather(*(load.request(source) for source in sources))
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("count", [1, 9, 200, 4000])
 def test_requests_take_a_bounded_time_in_each_event_loop_iteration(count: int) -> None:
     load = Load()
-    play(load, [RequestSource.WORKER] * count)
+    run_load(load, [RequestSource.WORKER] * count)
     assert len(load.served) + load.load_shedder.shed == count
     assert len(load.served) >= min(count, 1000)  # can be served within the maximum wait
     by_iteration: dict[int, int] = {}
@@ -76,7 +76,7 @@
 
 def test_requests_of_workers_have_priority_and_those_of_users_do_not_starve() -> None:
     load = Load()
-    play(load, [RequestSource.USER] * 100 + [RequestSource.WORKER] * 100)
+    run_load(load, [RequestSource.USER] * 100 + [RequestSource.WORKER] * 100)
     first = [source for _, source in load.served[20:80]]
     users = first.count(RequestSource.USER) / len(first)
     assert users == pytest.approx(1 / USER_REQUEST_INTERVAL, abs=0.1)
--- a/petrelthread/http/test_server.py
+++ b/petrelthread/http/test_server.py
@@ -36,11 +36,11 @@
         server, addr = await start_echo_server()
         client = Client()
         for size in (0, 10, 60_000):
-            reply = await client.request(addr, "POST", "/x?y=1", "a" * size)
-            assert reply.status == 200
-            assert orjson.loads(reply.body)["size"] == size + 2
-        reply = await client.request(addr, "GET", "/boom")
-        assert reply.status == 503  # the handler raised
+            response = await client.request(addr, "POST", "/x?y=1", "a" * size)
+            assert response.status == 200
+            assert orjson.loads(response.body)["size"] == size + 2
+        response = await client.request(addr, "GET", "/boom")
+        assert response.status == 503  # the handler raised
         server.close()
 
     asyncio.run(main())
@@ -57,7 +57,7 @@
     ],
     ids=["no HTTP", "version", "content length", "body too large", "line too long"],
 )
-def test_malformed_requests_are_answered_with_400(data: bytes) -> None:
+def test_malformed_requests_get_400(data: bytes) -> None:
     async def main() -> None:
         server, addr = await start_echo_server()
         response = await exchange_raw(addr, data)
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -1,6 +1,6 @@
 """HTTP routing of users' requests.
 
-A request that cannot be answered yet gets status 503 at once instead of waiting.
+A request that cannot be processed yet gets status 503 at once instead of waiting.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
         )
 
     async def handle(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request to ``JOBS_PATH`` or a path below it."""
+        """Handle a request to ``JOBS_PATH`` or a path below it."""
         if path == protocol.JOBS_PATH:
             if method != "POST":
                 return _method_not_allowed("POST")
--- a/petrelthread/job_api/queries.py
+++ b/petrelthread/job_api/queries.py
@@ -23,7 +23,7 @@
 
 
 class JobQueries:
-    """Answers from the cluster state, and refreshes it first where it may be outdated."""
+    """Responds from the cluster state, and refreshes it first where it may be stale."""
 
     def __init__(
         self, cluster_state: ClusterState, watch_cache: WatchCache, client: StateClient
@@ -53,7 +53,7 @@
         )
 
     async def cancel(self, job_id: str) -> Response:
-        """Cancel a job unless it has a final status; the response holds the final status."""
+        """Cancel a job unless it has a final status; the response contains the final status."""
         if not protocol.JOB_ID.match(job_id):
             return job_not_found()
         current = await self.status_response(job_id)
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -162,7 +162,7 @@
 
 
 def test_too_large_job_gets_400_unless_it_was_accepted_before() -> None:
-    """The limit may have been larger then, and this controller may not know the job yet."""
+    """The limit may have been larger at that time; this controller may not know the job yet."""
 
     async def main() -> None:
         simulation = Simulation()
--- a/petrelthread/job_api/validation.py
+++ b/petrelthread/job_api/validation.py
@@ -40,7 +40,7 @@
 def check_runnable(
     spec: JobSpec, teams: dict[str, Team], machine_types: tuple[MachineType, ...] | None
 ) -> None:
-    """Check a job against its team's limits and the machine types.
+    """Check a job against its team's quota and the machine types.
 
     Args:
         spec: Job to check.
@@ -49,12 +49,12 @@
 
     Raises:
         UnschedulableJobError: The job can never run.
-        MachineTypesUnknownError: The job is within the limits and ``machine_types`` is None.
+        MachineTypesUnknownError: The job is within the quota and ``machine_types`` is None.
     """
     team = teams.get(spec.team)
     if team is None:
         raise UnschedulableJobError(f"unknown team {spec.team}")
-    _check_team_limit(spec, team)
+    _check_quota(spec, team)
     if machine_types is None:
         raise MachineTypesUnknownError("machine types are not known yet")
     if not any(
@@ -63,8 +63,8 @@
         raise UnschedulableJobError("a task fits no allowed machine type")
 
 
-def _check_team_limit(spec: JobSpec, team: Team) -> None:
-    # One task of an array must fit the limit; the others can run after it.
+def _check_quota(spec: JobSpec, team: Team) -> None:
+    # One task of an array must fit the quota; the others can run after it.
     concurrent_tasks = 1 if spec.kind == JobKind.ARRAY else spec.task_count
     cores, accelerators = concurrent_tasks * spec.cores, concurrent_tasks * spec.accelerators
     if cores > team.most_cores + REQUEST_TOLERANCE:
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Runs petrelthread from a checkout: adds the installed dependencies and calls the CLI.
+"""Runs petrelthread from a checkout: puts its dependencies on the module path and calls the CLI.
 
 Bytecode is cached below target/, where the build writes it. A controller that first has to compile
 its own sources starts late, and very late on a third of a processor core.
