--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -18,7 +18,7 @@
 
 
 def is_unreachable(parts: ControllerParts, attempt: Attempt) -> bool:
-    """Return whether the attempt's machine is unresponsive or terminating; it may still run."""
+    """Whether the attempt's machine is unresponsive or terminating; the attempt may still run."""
     machine = parts.fleet.machines.get(attempt.machine)
     return machine is not None and machine.health in (Health.UNRESPONSIVE, Health.TERMINATING)
 
