--- a/petrelthread/admin/conditions.py
+++ b/petrelthread/admin/conditions.py
@@ -83,7 +83,7 @@
         return ""
     return (
         "limit reached, processor: more requests come than this node can serve,"
-        f" {parts.load_shedder.shed} turned away so far"
+        f" {parts.load_shedder.shed_count} turned away so far"
     )
 
 
@@ -92,7 +92,7 @@
         return ""
     return (
         "limit reached, sockets of the public address:"
-        f" {parts.load_shedder.refused_connections} connections refused so far"
+        f" {parts.load_shedder.refused_connection_count} connections refused so far"
     )
 
 
@@ -100,7 +100,7 @@
 
 
 def _late_starts(parts: ControllerParts, _now: float) -> str:
-    count = parts.fleet.unacknowledged_starts.past_bound_count
+    count = parts.fleet.unacknowledged_starts.past_deadline_count
     if not count:
         return ""
     return (
--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -57,7 +57,7 @@
     """Clear the cached images of a few machines, in place of the changes between two rounds."""
     machines = list(leader.controller.fleet.machines.values())
     for machine in machines[:MACHINES_CHANGED]:
-        machine.forget_images()
+        machine.clear_images()
 
 
 def _reload(values: Sequence[tuple[str, object]]) -> ClusterState:
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -315,7 +315,7 @@
         self.scheduler.fail_over(epoch)
         self.provisioner.fail_over(now)
         self.zone_monitor.clear()
-        self.heartbeat_handler.reset_recent()
+        self.heartbeat_handler.discard_recent_heartbeats()
         attempts = self.cluster_state.attempts_by_machine.values()
         log.info(
             "failover with epoch %d: state read up to revision %d (%.2f s ago);"
@@ -334,7 +334,7 @@
         self.election.on_process_resumed()
         self.fleet.resumed_at = now
         self.peer_monitor.last_received.clear()
-        self.heartbeat_handler.reset_recent()
+        self.heartbeat_handler.discard_recent_heartbeats()
 
     def _own_heartbeat(self) -> PeerHeartbeat:
         now = asyncio.get_running_loop().time()
@@ -343,7 +343,7 @@
             self.election.highest_known_epoch,
             self.election.is_leader,
             now - self.watch_cache.current_as_of < STATE_SERVICE_TIMEOUT_S,
-            self.heartbeat_handler.recent_count(now),
+            self.heartbeat_handler.recent_heartbeat_count(now),
             self.settings.zone,
             requested_write_rate=self.write_rates.requested_rate(now),
         )
--- a/petrelthread/controller/housekeeping.py
+++ b/petrelthread/controller/housekeeping.py
@@ -9,7 +9,7 @@
 
 from petrelthread.controller.write_rates import WriteRateManager
 from petrelthread.fleet import Fleet, HeartbeatHandler, WorkerStatusReader, ZoneMonitor
-from petrelthread.fleet.failure_detector import FIND_LEADER_S
+from petrelthread.fleet.failure_detector import LEADER_DISCOVERY_MARGIN_S
 from petrelthread.leadership import Election
 from petrelthread.pause_detector import PauseDetector
 from petrelthread.peers import PeerMonitor
@@ -110,7 +110,9 @@
 
     def _controller_reachability(self) -> dict[str, bool]:
         """Map each zone that has controllers to whether one of them is reachable."""
-        recent = {heartbeat.node for heartbeat in self.peer_monitor.recent(PEER_TIMEOUT_S)}
+        recent = {
+            heartbeat.node for heartbeat in self.peer_monitor.recent_heartbeats(PEER_TIMEOUT_S)
+        }
         reachable = {self.settings.zone: True} if self.settings.zone else {}
         for sibling in self.settings.siblings:
             if sibling.zone:
@@ -122,13 +124,13 @@
         """Resign as leader if no worker reaches this controller but workers reach its siblings."""
         election = self.election
         since = max(election.elected_at, self.pause_detector.resumed_at)
-        grace_s = self.heartbeat_handler.window_s + FIND_LEADER_S
+        grace_s = self.heartbeat_handler.recent_window_s + LEADER_DISCOVERY_MARGIN_S
         if not election.is_leader or now - since < grace_s:
             return
-        if self.heartbeat_handler.recent_count(now) > 0:
+        if self.heartbeat_handler.recent_heartbeat_count(now) > 0:
             return
-        recent = self.peer_monitor.recent(PEER_TIMEOUT_S)
-        received = sum(heartbeat.worker_heartbeats for heartbeat in recent)
+        recent_heartbeats = self.peer_monitor.recent_heartbeats(PEER_TIMEOUT_S)
+        received = sum(heartbeat.worker_heartbeats for heartbeat in recent_heartbeats)
         if received >= MIN_PEER_HEARTBEATS:
             log.info("no worker reaches this node, but siblings received %d heartbeats", received)
             await election.resign("workers do not reach this node", ABSTAIN_S)
--- a/petrelthread/controller/routes.py
+++ b/petrelthread/controller/routes.py
@@ -48,7 +48,7 @@
             return error_response(503, "still starting", 1)
         # If only this node cannot reach the state service, requests should go to its siblings. If
         # no controller can, not being ready would only delay the recovery after the outage.
-        peers = self.peer_monitor.recent(PEER_TIMEOUT_S)
+        peers = self.peer_monitor.recent_heartbeats(PEER_TIMEOUT_S)
         peers_reach_state = any(heartbeat.state_service_ok for heartbeat in peers)
         age_s = asyncio.get_running_loop().time() - self.watch_cache.current_as_of
         if peers_reach_state and age_s > MAX_READY_STATE_AGE_S:
--- a/petrelthread/controller/scheduling_loop.py
+++ b/petrelthread/controller/scheduling_loop.py
@@ -63,7 +63,7 @@
     async def _check_failures(self, now: float) -> None:
         self.failure_detector.check(now, self.unresponsive_after_s(now))
         self.worker_status_reader.probe(now)
-        await self._void_unacknowledged_starts(now)
+        await self._invalidate_unacknowledged_starts(now)
 
     async def _run_round(self, now: float) -> bool:
         """Run one round. Returns whether the next one should follow at once."""
@@ -72,7 +72,7 @@
             return False
         return await self.scheduler.run_round(now)
 
-    async def _void_unacknowledged_starts(self, now: float) -> None:
+    async def _invalidate_unacknowledged_starts(self, now: float) -> None:
         """Raise the fencing token if unacknowledged starts must no longer be executed."""
         starts = self.fleet.unacknowledged_starts
         reason = starts.raise_reason(self.election.fencing_token, now)
--- a/petrelthread/controller/write_rates.py
+++ b/petrelthread/controller/write_rates.py
@@ -57,7 +57,7 @@
         active = self._role() in ACTIVE_ROLES
         unresponsive = 0
         if active and self._may_borrow(now):
-            unresponsive = self._siblings - len(peers.recent(PEER_TIMEOUT_S))
+            unresponsive = self._siblings - len(peers.recent_heartbeats(PEER_TIMEOUT_S))
         self.quota.base_rate = self._rates.leader if active else self._rates.follower
         # Beyond its share a leader may use half of the shares of unresponsive siblings. They may
         # be alive, so the extra rate is at most what all controllers leave unused of the limit.
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -28,7 +28,7 @@
 OVERDUE_AFTER_INTERVALS = 1.25
 MAX_HEARTBEAT_TRANSIT_S = 0.75
 MAX_FAILED_PROBES = 2  # consecutive failed probes after which a machine's replicas are replaced
-FIND_LEADER_S = 4.0  # added to the timeout of workers not yet answered by this leader
+LEADER_DISCOVERY_MARGIN_S = 4.0  # added to the timeout of workers not yet answered by this leader
 MAX_INDEPENDENT_OVERDUE = 2  # up to this many overdue machines suggest no controller fault
 
 
@@ -72,7 +72,7 @@
         """Mark a machine unresponsive after the heartbeat timeout. Returns whether it is."""
         answered = machine.answered_epoch == self._fleet.epoch
         if not answered:
-            timeout_s += FIND_LEADER_S
+            timeout_s += LEADER_DISCOVERY_MARGIN_S
         # This process received no heartbeats while it was paused.
         if now - max(machine.last_seen_at, self._fleet.resumed_at) <= timeout_s:
             return False
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -33,17 +33,17 @@
         self._received_at: deque[float] = deque()
 
     @property
-    def window_s(self) -> float:
+    def recent_window_s(self) -> float:
         """For how long a heartbeat counts as recent, in seconds."""
         return RECENT_INTERVALS * self._fleet.heartbeat_interval_s
 
-    def recent_count(self, now: float) -> int:
+    def recent_heartbeat_count(self, now: float) -> int:
         """Return how many heartbeats were received recently, answered or not."""
-        while self._received_at and now - self._received_at[0] > self.window_s:
+        while self._received_at and now - self._received_at[0] > self.recent_window_s:
             self._received_at.popleft()
         return len(self._received_at)
 
-    def reset_recent(self) -> None:
+    def discard_recent_heartbeats(self) -> None:
         """Discard the recent heartbeats, when they are no longer evidence of connectivity."""
         self._received_at.clear()
 
@@ -55,7 +55,7 @@
             return error_response(HTTPStatus.BAD_REQUEST, str(error))
         now = asyncio.get_running_loop().time()
         self._received_at.append(now)
-        self.recent_count(now)  # discards heartbeats that are no longer recent
+        self.recent_heartbeat_count(now)  # discards heartbeats that are no longer recent
         self._election.observe_epoch(heartbeat.fencing_token)
         refusal = self._refusal(heartbeat, now)
         if refusal is not None:
@@ -95,7 +95,7 @@
         If not, the response is recorded as a lease renewal for the machine's starts.
         """
         starts, token = self._fleet.unacknowledged_starts, self._election.fencing_token
-        machine = self._fleet.find(heartbeat.host)
+        machine = self._fleet.find(heartbeat.machine_name)
         if machine is None or not starts.has_any_on(machine.index):
             return False
         if not starts.may_answer(machine.index, token, now):
--- a/petrelthread/fleet/heartbeat_reconciler.py
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -53,7 +53,7 @@
         Returns:
             The machine; None if the heartbeat is stale, so that its task list is no evidence.
         """
-        machine = self._registry.get_or_add(heartbeat.host, now)
+        machine = self._registry.get_or_add(heartbeat.machine_name, now)
         if (heartbeat.incarnation, heartbeat.sequence_number) <= (
             machine.incarnation,
             machine.sequence_number,
@@ -87,7 +87,7 @@
             if attempt.incarnation < incarnation:
                 self._outcomes.supersede(attempt, reason)
         self._unacknowledged_starts.on_incarnation_ended(machine.index, reason)
-        machine.forget_images()
+        machine.clear_images()
 
     def _update_liveness(
         self, machine: Machine, heartbeat: protocol.WorkerHeartbeat, now: float, answered: bool
--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -166,7 +166,7 @@
             least_recent = next(iter(self.images))
             total -= self.images.pop(least_recent)
 
-    def forget_images(self) -> None:
+    def clear_images(self) -> None:
         """Empty the image cache; a new incarnation of the worker starts without images."""
         self.images.clear()
         self.changed_machines.add(self.index)
--- a/petrelthread/fleet/task_reconciler.py
+++ b/petrelthread/fleet/task_reconciler.py
@@ -26,7 +26,7 @@
 STATES_BEFORE_RUNNING = ("", protocol.TaskState.FETCHING, protocol.TaskState.GATHERING)
 STATES_AFTER_START = (protocol.TaskState.RUNNING, protocol.TaskState.SAVING)
 REFUSAL_CAUSES = (
-    protocol.ExitCause.NO_ROOM,
+    protocol.ExitCause.NO_CAPACITY,
     protocol.ExitCause.IN_USE,
     protocol.ExitCause.UNKNOWN_TASK,
 )
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -42,7 +42,7 @@
             self.fleet,
             attempt_number(self.task),
             self.task,
-            host=machine.name,
+            machine_name=machine.name,
             state=OperationState.DISPATCHING,
         )
         self.dispatcher.send([attempt], [])
@@ -50,7 +50,7 @@
 
     def commanded_tasks(self, machine: Machine) -> list[str]:
         """Reconcile a heartbeat of the machine. Returns the tasks of its response's commands."""
-        message = heartbeat(1, host=machine.name)
+        message = heartbeat(1, machine_name=machine.name)
         message.address = machine.name
         now = asyncio.get_running_loop().time()
         assert self.fleet.on_heartbeat(message, now, answered=True) is machine
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -194,7 +194,7 @@
             # ``may_answer`` would not permit this renewal.
             sent.starts.on_lease_renewed(sent.machine.index, EPOCH, AT + after_s)
             sent.starts.expire_leases(AT + after_s)
-    assert sent.starts.past_bound_count == 1
+    assert sent.starts.past_deadline_count == 1
     assert caplog.text.count("is possible") == 1
 
 
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -138,7 +138,8 @@
         self._by_machine: dict[int, dict[StartKey, UnacknowledgedStart]] = {}
         self._raise_attempted_at = float("-inf")
         self._state_current_as_of = state_current_as_of
-        self.past_bound_count = 0  # starts possible past the cancellation deadline; should stay 0
+        # Number of starts possible past the cancellation deadline; should stay 0.
+        self.past_deadline_count = 0
 
     # ---- steps of the life cycle -----------------------------------------------------------------
 
@@ -315,7 +316,7 @@
             if not unwanted or start.overdue_reported or now < start.known_open_at + deadline_s:
                 continue
             start.overdue_reported = True
-            self.past_bound_count += 1
+            self.past_deadline_count += 1
             log.error(
                 "%s, sent %.1f s ago with token %d, is possible %.1f s after its job ended",
                 start,
--- a/petrelthread/http/load_shedder.py
+++ b/petrelthread/http/load_shedder.py
@@ -66,9 +66,9 @@
         self._dequeued_count = 0  # requests taken from the queues to be admitted
         self._request_cost_s = INITIAL_COST_S  # exponential moving average
         self.delayed_count = 0  # requests delayed since the start
-        self.shed = 0  # number of delayed requests that were shed since the start
+        self.shed_count = 0  # number of delayed requests that were shed since the start
         self.last_shed_at = float("-inf")
-        self.refused_connections = 0
+        self.refused_connection_count = 0
         self.last_refused_at = float("-inf")
 
     @property
@@ -93,7 +93,7 @@
 
     def record_refused_connection(self) -> None:
         """Count a connection that was closed on arrival because of the connection limit."""
-        self.refused_connections += 1
+        self.refused_connection_count += 1
         self.last_refused_at = self._now()
 
     def _admit_in_slice(self) -> bool:
@@ -149,5 +149,5 @@
             admission = queue.popleft().admission
             if not admission.done():
                 admission.set_result(Admission.SHED)
-                self.shed += 1
+                self.shed_count += 1
                 self.last_shed_at = now
--- a/petrelthread/http/test_load_shedder.py
+++ b/petrelthread/http/test_load_shedder.py
@@ -63,7 +63,7 @@
 def test_requests_take_a_bounded_time_in_each_event_loop_iteration(count: int) -> None:
     load = Load()
     play(load, [RequestSource.WORKER] * count)
-    assert len(load.served) + load.load_shedder.shed == count
+    assert len(load.served) + load.load_shedder.shed_count == count
     assert len(load.served) >= min(count, 1000)  # can be served within the maximum wait
     by_iteration: dict[int, int] = {}
     for iteration, _ in load.served:
@@ -126,7 +126,7 @@
     assert max(waited) <= MAX_WAIT_S + 3 * TIME_SLICE_S
     assert len(waited) + len(shed_after) == 10_000
     assert len(waited) > 4000  # no processor time is spent on requests that are too late
-    assert load.load_shedder.shed == len(shed_after) > 500
+    assert load.load_shedder.shed_count == len(shed_after) > 500
 
 
 class OverloadedShedder(LoadShedder):
--- a/petrelthread/leadership/leader_lease.py
+++ b/petrelthread/leadership/leader_lease.py
@@ -11,7 +11,7 @@
 RENEW_INTERVAL_S = 0.75
 RENEW_TIMEOUT_S = 0.9
 # The state service's clock may run faster than this controller's by this factor.
-MAX_CLOCK_DRIFT = 1.001
+CLOCK_DRIFT_FACTOR = 1.001
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     @property
     def expires_at(self) -> float:
         """Event loop time before which no other controller can have been elected."""
-        return self.renewed_at + LEASE_TTL_S / MAX_CLOCK_DRIFT
+        return self.renewed_at + LEASE_TTL_S / CLOCK_DRIFT_FACTOR
 
     async def renew(self, client: StateClient) -> float:
         """Renew the lease; return the event loop time at which the request was sent.
--- a/petrelthread/leadership/test_leadership_state.py
+++ b/petrelthread/leadership/test_leadership_state.py
@@ -8,7 +8,7 @@
 
 from petrelthread.http import ClientResponse
 from petrelthread.leadership import Role
-from petrelthread.leadership.leader_lease import LEASE_TTL_S, MAX_CLOCK_DRIFT, LeaderLease
+from petrelthread.leadership.leader_lease import CLOCK_DRIFT_FACTOR, LEASE_TTL_S, LeaderLease
 from petrelthread.leadership.leadership_state import LeadershipState
 from petrelthread.store import StateClient, TokenBucket, WatchCache
 from tests.virtual import play
@@ -63,7 +63,7 @@
 def test_a_leader_leads_until_its_lease_expiry_less_clock_drift() -> None:
     async def scenario() -> None:
         state = state_in(Role.LEADING, now(), now() + LEASE_TTL_S)
-        await asyncio.sleep(LEASE_TTL_S / MAX_CLOCK_DRIFT - MARGIN_S)
+        await asyncio.sleep(LEASE_TTL_S / CLOCK_DRIFT_FACTOR - MARGIN_S)
         assert state.is_leader
         await asyncio.sleep(2 * MARGIN_S)
         assert not state.is_leader
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -78,7 +78,7 @@
         self.last_received[heartbeat.node] = ReceivedHeartbeat(heartbeat, received_at)
         self._on_heartbeat(heartbeat)
 
-    def recent(self, within_s: float) -> list[PeerHeartbeat]:
+    def recent_heartbeats(self, within_s: float) -> list[PeerHeartbeat]:
         """Return the newest heartbeat of each sibling, if received within ``within_s`` seconds."""
         now = asyncio.get_running_loop().time()
         return [
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -48,9 +48,9 @@
         assert response.status == 200
         assert orjson.loads(response.body)["epoch"] == 3
         assert [heartbeat.epoch for heartbeat in received] == [4]
-        assert [heartbeat.node for heartbeat in monitor.recent(3.0)] == ["n1"]
+        assert [heartbeat.node for heartbeat in monitor.recent_heartbeats(3.0)] == ["n1"]
         await asyncio.sleep(4.0)
-        assert not monitor.recent(3.0)
+        assert not monitor.recent_heartbeats(3.0)
 
     play(scenario())
 
--- a/petrelthread/protocol/cloud.py
+++ b/petrelthread/protocol/cloud.py
@@ -12,7 +12,7 @@
 
 MAX_MACHINES_PER_SCALE_OUT = 50
 MAX_MACHINES_PER_SCALE_IN = 100
-MAX_LIST_PAGE = 500
+MAX_MACHINES_PER_LIST_PAGE = 500
 MACHINE_FAILED = "failed"  # status of a listed machine
 
 
--- a/petrelthread/protocol/workers.py
+++ b/petrelthread/protocol/workers.py
@@ -30,7 +30,7 @@
 
     DONE = "done"
     ERROR = "error"
-    NO_ROOM = "full"
+    NO_CAPACITY = "full"
     IN_USE = "in_use"  # the machine has another attempt of the task
     UNKNOWN_TASK = "unknown"
 
@@ -63,7 +63,7 @@
     ``sequence_number``).
     """
 
-    host: str = msgspec.field(name="perch")
+    machine_name: str = msgspec.field(name="perch")
     incarnation: int = msgspec.field(name="flight")
     sequence_number: int = msgspec.field(name="tick")
     address: str = msgspec.field(name="addr", default="")
--- a/petrelthread/provisioning/cloud.py
+++ b/petrelthread/provisioning/cloud.py
@@ -106,7 +106,7 @@
         found: list[protocol.ListedMachine] = []
         after = ""
         while True:
-            target = f"{protocol.MACHINES_PATH}?limit={protocol.MAX_LIST_PAGE}"
+            target = f"{protocol.MACHINES_PATH}?limit={protocol.MAX_MACHINES_PER_LIST_PAGE}"
             if after:
                 target += f"&from={quote(after)}"
             response = await self._call("GET", target)
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -154,7 +154,7 @@
         if self.cluster.fleet.machines:
             machine = self.random.choice(list(self.cluster.fleet.machines.values()))
             if self.random.random() < 0.1:
-                machine.forget_images()
+                machine.clear_images()
             else:
                 machine.use_image(self.random.randrange(9), 3.0, 10.0)
 
--- a/tests/fleet_builder.py
+++ b/tests/fleet_builder.py
@@ -73,11 +73,20 @@
     token: int = EPOCH,
     tasks: Sequence[protocol.TaskReport] = (),
     incarnation: int = 1,
-    host: str = HOST,
+    machine_name: str = HOST,
 ) -> protocol.WorkerHeartbeat:
     """A heartbeat of one machine's worker."""
     return protocol.WorkerHeartbeat(
-        host, incarnation, sequence_number, "host:9", "small", "a", True, token, None, list(tasks)
+        machine_name,
+        incarnation,
+        sequence_number,
+        "host:9",
+        "small",
+        "a",
+        True,
+        token,
+        None,
+        list(tasks),
     )
 
 
@@ -86,11 +95,11 @@
     number: int,
     task: int = 0,
     incarnation: int = 1,
-    host: str = HOST,
+    machine_name: str = HOST,
     state: OperationState = OperationState.UNKNOWN,
 ) -> tuple[Machine, Attempt]:
     """Record an attempt of the job on a machine."""
-    machine = fleet.get_or_add(host, fleet.elected_at)
+    machine = fleet.get_or_add(machine_name, fleet.elected_at)
     cluster_state = fleet.cluster_state
     return machine, cluster_state.add_attempt(
         number, cluster_state.jobs[0], task, machine.index, incarnation, state
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -232,8 +232,10 @@
         running = asyncio.ensure_future(monitor.run())
         await asyncio.sleep(0.5)
         running.cancel()
-        recent = as_json(monitor.recent(1.0))
-        expect("peers", "greetings sent", "answered", [requester.requests, recent, loans])
+        recent_heartbeats = as_json(monitor.recent_heartbeats(1.0))
+        expect(
+            "peers", "greetings sent", "answered", [requester.requests, recent_heartbeats, loans]
+        )
 
     play(scenario())
 
