--- a/petrelthread/admin/api.py
+++ b/petrelthread/admin/api.py
@@ -12,7 +12,7 @@
 from petrelthread.admin.controller_parts import ControllerParts
 from petrelthread.admin.settings_api import SettingsApi
 from petrelthread.http import NoResponseError, Response, error_response, json_response
-from petrelthread.store import Request
+from petrelthread.store import SendRequest
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 class Admin:
     """Handles operators' requests, and requests that siblings forward to the leader."""
 
-    def __init__(self, parts: ControllerParts, request: Request) -> None:
+    def __init__(self, parts: ControllerParts, request: SendRequest) -> None:
         """``request``: sends requests to siblings."""
         self._parts = parts
         self._request = request
--- a/petrelthread/admin/controller_parts.py
+++ b/petrelthread/admin/controller_parts.py
@@ -20,7 +20,8 @@
 class ControllerParts(Protocol):
     """The parts of a controller that the administration API uses.
 
-    Views and alerts only read them. ``SettingsApi`` also writes the settings, through ``state``.
+    Views and alerts only read them. ``SettingsApi`` also writes the settings, through
+    ``state_client``.
     """
 
     @property
@@ -28,7 +29,7 @@
         """The settings file."""
 
     @property
-    def state(self) -> StateClient:
+    def state_client(self) -> StateClient:
         """The client of the state service."""
 
     @property
@@ -56,7 +57,7 @@
         """Detects zones that are cut off."""
 
     @property
-    def view(self) -> ClusterView:
+    def cluster_view(self) -> ClusterView:
         """Demand, team usage and free capacity."""
 
     @property
--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -111,20 +111,20 @@
 
 
 def _over_team_limit(parts: ControllerParts, job: Job, _now: float) -> str:
-    team = parts.view.teams[job.team]
-    used_cores = parts.view.team_usage()[job.team].cores
+    team = parts.cluster_view.teams[job.team]
+    used_cores = parts.cluster_view.team_usage()[job.team].cores
     if used_cores + job.cores <= team.most_cores + CORES_TOLERANCE:
         return ""
     return f"team {team.name} uses {used_cores:g} of its limit of {team.cpus_max:g} cores."
 
 
 def _machine_capacities(parts: ControllerParts) -> list[MachineCapacity]:
-    capacity = parts.view.free_capacity()
+    capacity = parts.cluster_view.free_capacity()
     return [*capacity.usable.machines.values(), *capacity.surplus.machines.values()]
 
 
 def _has_room(parts: ControllerParts, job: Job, _now: float) -> str:
-    request = parts.view.placement_request(job)
+    request = parts.cluster_view.placement_request(job)
     fitting = [
         candidate
         for candidate in _machine_capacities(parts)
@@ -139,7 +139,7 @@
 
 
 def _lacks_capacity(parts: ControllerParts, job: Job, now: float) -> str:
-    request = parts.view.placement_request(job)
+    request = parts.cluster_view.placement_request(job)
     allowed = sum(candidate.allows(request) for candidate in _machine_capacities(parts))
     booting = sum(machine.health is Health.BOOTING for machine in parts.fleet.machines.values())
     reasons = "".join(f"; {reason}" for reason in _capacity_reasons(parts, job, now))
@@ -165,7 +165,7 @@
         f"{partitioned} machines report but do not hear us": partitioned > 0,
         f"{late} are late in booting": late > 0,
         "it has neither a deadline nor an objective, and others' work comes first": (
-            not parts.view.has_objectives(job)
+            not parts.cluster_view.has_objectives(job)
         ),
         f"cut off: {cut_off}": bool(cut_off),
     }
--- a/petrelthread/admin/settings_api.py
+++ b/petrelthread/admin/settings_api.py
@@ -86,7 +86,7 @@
         condition = protocol.Condition(OPTIONS_KEY, version)
         operation = protocol.PutOperation(OPTIONS_KEY, values)
         try:
-            revision = await self._parts.state.transact([condition], [operation])
+            revision = await self._parts.state_client.transact([condition], [operation])
         except TransactionConflictError:
             return error_response(409, f"version {version} is stale")
         except (StateUnavailableError, StateResultUnknownError, LeaseExpiredError) as error:
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -177,7 +177,9 @@
             "guaranteed": team.cpus,
             "limit": team.cpus_max or None,
         }
-        for team, usage in zip(parts.view.teams, parts.view.team_usage(), strict=False)
+        for team, usage in zip(
+            parts.cluster_view.teams, parts.cluster_view.team_usage(), strict=False
+        )
     ]
 
 
--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -141,7 +141,7 @@
 
 
 def _operate(args: argparse.Namespace) -> int:
-    from petrelthread.cli.operate import operate
+    from petrelthread.cli.operator_commands import operate
 
     return operate(args)
 
--- a/petrelthread/cli/serve.py
+++ b/petrelthread/cli/serve.py
@@ -47,8 +47,8 @@
         settings,
         client.request,
         random.Random(),
-        commands=command_client.request,
-        commands_at_once=command_client.max_concurrent,
+        worker_request=command_client.request,
+        max_concurrent_commands=command_client.max_concurrent,
         lease_request=lease_client.request,
     )
     stale_after_s = MISSED_HEARTBEATS * settings.cluster.workers.report_s + STALE_MARGIN_S
--- a/petrelthread/cli/test_operate.py
+++ b/petrelthread/cli/test_operator_commands.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from petrelthread.cli import main, operate
+from petrelthread.cli import main, operator_commands
 
 STATUS: dict[str, Any] = {
     "node": "n0",
@@ -43,7 +43,7 @@
         requests.append((method, path, body))
         return code, response_body
 
-    monkeypatch.setattr(operate, "request", request)
+    monkeypatch.setattr(operator_commands, "request", request)
     return requests
 
 
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -13,7 +13,7 @@
 from petrelthread.controller.routes import PeerRoutes, PublicRoutes
 from petrelthread.controller.scheduling_loop import SchedulingLoop
 from petrelthread.controller.state_changes import StateChangeHandler
-from petrelthread.controller.write_rates import WriteRateManager
+from petrelthread.controller.write_rate_manager import WriteRateManager
 from petrelthread.fleet import (
     CommandDispatcher,
     CommandPlanner,
@@ -38,7 +38,7 @@
 from petrelthread.scheduling import ClusterView, RunTimeEstimates, Scheduler
 from petrelthread.settings import Settings
 from petrelthread.state import ClusterState, InternedNames
-from petrelthread.store import Request, StateClient, TokenBucket, WatchCache, WriteRates
+from petrelthread.store import SendRequest, StateClient, TokenBucket, WatchCache, WriteRates
 
 log = logging.getLogger(__name__)
 
@@ -63,11 +63,11 @@
     def __init__(
         self,
         settings: Settings,
-        request: Request,
+        request: SendRequest,
         randomness: random.Random,
-        commands: Request | None = None,
-        commands_at_once: int = MAX_CONCURRENT_COMMANDS,
-        lease_request: Request | None = None,
+        worker_request: SendRequest | None = None,
+        max_concurrent_commands: int = MAX_CONCURRENT_COMMANDS,
+        lease_request: SendRequest | None = None,
     ) -> None:
         """Build and connect all components; nothing is sent before ``run``.
 
@@ -75,8 +75,8 @@
             settings: the settings that the platform supplies.
             request: sends HTTP requests.
             randomness: source of nonces, and of delays so that controllers act at different times.
-            commands: sends requests to workers; ``request`` if None.
-            commands_at_once: how many requests to workers may be in flight.
+            worker_request: sends requests to workers; ``request`` if None.
+            max_concurrent_commands: how many requests to workers may be in flight.
             lease_request: sends lease renewals, so that they never queue behind other requests;
                 ``request`` if None.
         """
@@ -86,7 +86,7 @@
         self.alerts = AlertTracker()
         self._build_state(request, lease_request)
         self._build_leadership(randomness)
-        self._build_fleet(commands or request, commands_at_once)
+        self._build_fleet(worker_request or request, max_concurrent_commands)
         self._build_scheduling()
         self._build_provisioning(request)
         self._build_apis(request)
@@ -94,13 +94,13 @@
 
     # ---- construction --------------------------------------------------------------------------
 
-    def _build_state(self, request: Request, lease_request: Request | None) -> None:
+    def _build_state(self, request: SendRequest, lease_request: SendRequest | None) -> None:
         cluster = self.settings.cluster
         controllers = max(1, cluster.count)
         write_rates = WriteRates.divide(cluster.state.write_rps, controllers)
         request_rate = cluster.state.rps * STATE_SERVICE_SHARE / controllers
         write_rate = cluster.state.write_rps * STATE_SERVICE_SHARE / controllers
-        self.state = StateClient(
+        self.state_client = StateClient(
             request,
             self.settings.endpoints.state,
             TokenBucket(request_rate, request_rate / 2),
@@ -108,24 +108,24 @@
             lease_request,
         )
         self.write_rates = WriteRateManager(
-            self.settings, self.state, write_rates, lambda: self.election.role
+            self.settings, self.state_client, write_rates, lambda: self.election.role
         )
         names = InternedNames([team.name for team in cluster.teams], cluster.zones)
         self.cluster_state = ClusterState(names)
-        self.watch_cache = WatchCache(self.state, self._on_key, FOLLOWER_POLL_INTERVAL_S)
+        self.watch_cache = WatchCache(self.state_client, self._on_key, FOLLOWER_POLL_INTERVAL_S)
 
     def _build_leadership(self, randomness: random.Random) -> None:
         self.election = Election(
             self.settings.host_name,
-            self.state,
+            self.state_client,
             self.watch_cache,
             self.settings.lease_grace_s,
             randomness,
             self,
         )
-        self.claims = ClaimWriter(self.state, self.election.fence)
+        self.claims = ClaimWriter(self.state_client, self.election.fence)
 
-    def _build_fleet(self, commands: Request, commands_at_once: int) -> None:
+    def _build_fleet(self, worker_request: SendRequest, max_concurrent_commands: int) -> None:
         workers = self.settings.cluster.workers
         self.estimates = RunTimeEstimates()
         self.fleet = Fleet(
@@ -146,17 +146,17 @@
         self.heartbeat_handler = HeartbeatHandler(
             self.settings.host_name, self.election, self.fleet, self.command_planner
         )
-        command_slots = asyncio.Semaphore(commands_at_once)
+        command_slots = asyncio.Semaphore(max_concurrent_commands)
         self.command_dispatcher = CommandDispatcher(
-            self.fleet, commands, command_slots, lambda: self.election.may_start_tasks
+            self.fleet, worker_request, command_slots, lambda: self.election.may_start_tasks
         )
         self.worker_status_reader = WorkerStatusReader(
-            self.fleet, self.failure_detector, commands, command_slots
+            self.fleet, self.failure_detector, worker_request, command_slots
         )
         self.zone_monitor = ZoneMonitor(workers.report_s)
 
     def _build_scheduling(self) -> None:
-        self.view = ClusterView(
+        self.cluster_view = ClusterView(
             self.settings,
             self.cluster_state,
             self.fleet,
@@ -169,12 +169,12 @@
             self.fleet,
             self.claims,
             self.command_dispatcher,
-            self.view,
+            self.cluster_view,
             self.watch_cache.refresh,
-            lambda now: self.state.write_bucket.available(now, CLEANUP_RESERVE_SHARE),
+            lambda now: self.state_client.write_bucket.available(now, CLEANUP_RESERVE_SHARE),
         )
 
-    def _build_provisioning(self, request: Request) -> None:
+    def _build_provisioning(self, request: SendRequest) -> None:
         cloud_rate = self.settings.cluster.cloud.rps * CLOUD_SHARE
         bucket = TokenBucket(cloud_rate, CLOUD_BURST_S * cloud_rate)
         context = ProvisioningContext(
@@ -188,7 +188,7 @@
         self.provisioner = Provisioner(
             context,
             self.scheduler,
-            self.view,
+            self.cluster_view,
             lambda: self._state_change_handler.provisioning_options,
             self.zone_monitor.cut_off_since,
         )
@@ -196,12 +196,12 @@
             self.election, self.cluster_state, self.scheduler, self.provisioner
         )
 
-    def _build_apis(self, request: Request) -> None:
+    def _build_apis(self, request: SendRequest) -> None:
         self.job_api = JobApi(
             self.settings,
             self.cluster_state,
             self.watch_cache,
-            self.state,
+            self.state_client,
             self.provisioner.catalog,
         )
         self.peer_monitor = PeerMonitor(
@@ -252,7 +252,7 @@
             self.heartbeat_handler,
             self.worker_status_reader,
             self.zone_monitor,
-            self.view,
+            self.cluster_view,
             self._update_alerts,
         )
 
--- a/petrelthread/controller/housekeeping.py
+++ b/petrelthread/controller/housekeeping.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from petrelthread.controller.write_rates import WriteRateManager
+from petrelthread.controller.write_rate_manager import WriteRateManager
 from petrelthread.fleet import Fleet, HeartbeatHandler, WorkerStatusReader, ZoneMonitor
 from petrelthread.fleet.failure_detector import LEADER_DISCOVERY_MARGIN_S
 from petrelthread.leadership import Election
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -20,7 +20,7 @@
 from petrelthread.fleet.machine_registry import NO_EPOCH
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.state import Attempt, OperationState, transition
-from petrelthread.store import Request
+from petrelthread.store import SendRequest
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        request: Request,
+        request: SendRequest,
         command_slots: asyncio.Semaphore,
         may_start_tasks: Callable[[], bool],
     ) -> None:
--- a/petrelthread/fleet/worker_status_reader.py
+++ b/petrelthread/fleet/worker_status_reader.py
@@ -12,7 +12,7 @@
 from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
 from petrelthread.http import ClientResponse, NoResponseError
-from petrelthread.store import Request
+from petrelthread.store import SendRequest
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
         self,
         fleet: Fleet,
         failure_detector: FailureDetector,
-        request: Request,
+        request: SendRequest,
         command_slots: asyncio.Semaphore,
     ) -> None:
         """Create the reader.
--- a/petrelthread/leadership/test_claim_writer.py
+++ b/petrelthread/leadership/test_claim_writer.py
@@ -8,14 +8,14 @@
 from petrelthread import protocol
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.leadership import ClaimOutcome, ClaimWriter, Fence
-from petrelthread.store import Request, StateClient, TokenBucket
+from petrelthread.store import SendRequest, StateClient, TokenBucket
 from tests.virtual import play
 
 COMMITTED = ClientResponse(200, b'{"epoch":7}')
 VALUE_TOO_LARGE = ClientResponse(400, b'{"error":"value too large"}')
 
 
-def state_client(request: Request) -> StateClient:
+def state_client(request: SendRequest) -> StateClient:
     return StateClient(request, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0))
 
 
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -14,7 +14,7 @@
 from petrelthread.http import NoResponseError, Response, error_response, json_response
 from petrelthread.peers.peer_heartbeat import PEER_HEARTBEAT_PATH, PeerHeartbeat
 from petrelthread.settings import Sibling
-from petrelthread.store import Request
+from petrelthread.store import SendRequest
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     def __init__(
         self,
         siblings: tuple[Sibling, ...],
-        request: Request,
+        request: SendRequest,
         own_heartbeat: Callable[[], PeerHeartbeat],
         on_heartbeat: Callable[[PeerHeartbeat], None],
         lend: Callable[[PeerHeartbeat], float] = _lend_nothing,
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -10,7 +10,7 @@
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.settings import Sibling
-from petrelthread.store import Request
+from petrelthread.store import SendRequest
 from tests.virtual import play
 
 
@@ -18,7 +18,7 @@
     raise NoResponseError("refused", request_sent=False)
 
 
-def make_monitor(received: list[PeerHeartbeat], request: Request = refuse) -> PeerMonitor:
+def make_monitor(received: list[PeerHeartbeat], request: SendRequest = refuse) -> PeerMonitor:
     sibling = Sibling("n1", "n1:2", "a")
     return PeerMonitor((sibling,), request, lambda: PeerHeartbeat("n0", 3), received.append)
 
--- a/petrelthread/provisioning/cloud.py
+++ b/petrelthread/provisioning/cloud.py
@@ -10,7 +10,7 @@
 
 from petrelthread import protocol
 from petrelthread.http import ClientResponse, NoResponseError
-from petrelthread.store import Request, TokenBucket
+from petrelthread.store import SendRequest, TokenBucket
 
 T = TypeVar("T")
 
@@ -45,7 +45,7 @@
     Every call raises ``CloudUnavailableError`` or ``CloudResultUnknownError`` if it fails.
     """
 
-    def __init__(self, request: Request, addr: str, budget: TokenBucket) -> None:
+    def __init__(self, request: SendRequest, addr: str, budget: TokenBucket) -> None:
         self._request = request
         self._addr = addr
         self._budget = budget
--- a/petrelthread/store/__init__.py
+++ b/petrelthread/store/__init__.py
@@ -1,6 +1,6 @@
 """Access to the state service: a rate-limited client, a cache of its keys, and write quotas."""
 
-from petrelthread.store.client import Request, StateClient
+from petrelthread.store.client import SendRequest, StateClient
 from petrelthread.store.errors import (
     LeaseExpiredError,
     StateRateLimitedError,
@@ -18,7 +18,7 @@
 __all__ = [
     "KEY_PREFIX",
     "LeaseExpiredError",
-    "Request",
+    "SendRequest",
     "StateClient",
     "StateRateLimitedError",
     "StateRejectedError",
--- a/petrelthread/store/client.py
+++ b/petrelthread/store/client.py
@@ -26,7 +26,7 @@
 )
 from petrelthread.store.token_bucket import TokenBucket
 
-Request = Callable[..., Awaitable[ClientResponse]]
+SendRequest = Callable[..., Awaitable[ClientResponse]]
 """Sends one HTTP request: ``(address, method, target, body, timeout=seconds)``."""
 
 T = TypeVar("T")
@@ -69,11 +69,11 @@
 
     def __init__(
         self,
-        request: Request,
+        request: SendRequest,
         address: str,
         request_bucket: TokenBucket,
         write_bucket: TokenBucket,
-        lease_request: Request | None = None,
+        lease_request: SendRequest | None = None,
     ) -> None:
         """Create a client without sending anything.
 
@@ -100,7 +100,7 @@
         body: dict[str, Any] | None = None,
         timeout: float = REQUEST_TIMEOUT_S,
         skip_rate_limit: bool = False,
-        request: Request | None = None,
+        request: SendRequest | None = None,
     ) -> ClientResponse:
         if not skip_rate_limit:
             await self.request_bucket.acquire()
