--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -53,7 +53,7 @@
 def _progress(parts: ControllerParts, job: Job) -> str:
     if job.is_service:
         return f"{serving_replicas(parts, job)} of {job.task_count} replicas running"
-    return f"{job.done_count} of {job.task_count} tasks done, {_running_count(job)} running"
+    return f"{job.finished_count} of {job.task_count} tasks done, {_running_count(job)} running"
 
 
 def _running_count(job: Job) -> int:
@@ -113,7 +113,7 @@
 def _over_team_limit(parts: ControllerParts, job: Job, _now: float) -> str:
     team = parts.cluster_view.teams[job.team]
     used_cores = parts.cluster_view.team_usage()[job.team].cores
-    if used_cores + job.cores <= team.most_cores + CORES_TOLERANCE:
+    if used_cores + job.cores <= team.max_cores + CORES_TOLERANCE:
         return ""
     return f"team {team.name} uses {used_cores:g} of its limit of {team.cpus_max:g} cores."
 
--- a/petrelthread/admin/setting_definitions.py
+++ b/petrelthread/admin/setting_definitions.py
@@ -27,16 +27,19 @@
         _DEFAULTS.on_demand_drain_s, 5, 3600, "rent ordinary until it drains in this"
     ),
     "patient_drain_s": SettingDefinition(
-        _DEFAULTS.patient_drain_s, 5, 36000, "rent ordinary for work without goals until it drains"
+        _DEFAULTS.best_effort_drain_s,
+        5,
+        36000,
+        "rent ordinary for work without goals until it drains",
     ),
     "due_share": SettingDefinition(
         _DEFAULTS.due_share, 0.1, 1, "share of the time until due to plan work into"
     ),
     "due_least_s": SettingDefinition(
-        _DEFAULTS.due_least_s, 5, 3600, "plan nothing as due sooner than this"
+        _DEFAULTS.min_due_s, 5, 3600, "plan nothing as due sooner than this"
     ),
     "keep_share": SettingDefinition(
-        _DEFAULTS.keep_share, 0.05, 1, "keep ordinary machines until this share"
+        _DEFAULTS.keep_time_factor, 0.05, 1, "keep ordinary machines until this share"
     ),
     "dear_fill": SettingDefinition(
         _DEFAULTS.on_demand_fill, 0, 1, "share of an ordinary machine that must be needed"
@@ -98,10 +101,10 @@
     return ProvisioningOptions(
         spot_drain_s=values["spot_drain_s"],
         on_demand_drain_s=values["dear_drain_s"],
-        patient_drain_s=values["patient_drain_s"],
+        best_effort_drain_s=values["patient_drain_s"],
         due_share=values["due_share"],
-        due_least_s=values["due_least_s"],
-        keep_share=values["keep_share"],
+        min_due_s=values["due_least_s"],
+        keep_time_factor=values["keep_share"],
         on_demand_fill=values["dear_fill"],
         spot_idle_s=values["idle_s"],
         on_demand_idle_s=values["dear_idle_s"],
--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -53,7 +53,7 @@
         "team": parts.cluster_state.names.teams.name(job.team),
         "shape": kind,
         "tasks": job.task_count,
-        "done": job.done_count,
+        "done": job.finished_count,
         "waiting": job.pending_count if job.final_status is None else 0,
         "age_s": round(time.time() - job.accepted_at, 1),
         "why": explain_waiting(parts, job, now),
--- a/petrelthread/controller/state_changes.py
+++ b/petrelthread/controller/state_changes.py
@@ -76,7 +76,7 @@
             return False
         # Either the claim was applied after this controller had given it up, so that none of its
         # starts was sent, or this is a late copy of a record that was settled and deleted.
-        self._cluster_state.settle_unsent_round(number)
+        self._cluster_state.settle_round(number)
         return True
 
     def _apply_catalog(self, value: Any) -> None:
--- a/petrelthread/fleet/job_failures.py
+++ b/petrelthread/fleet/job_failures.py
@@ -37,9 +37,9 @@
         """Begin with the records of former leaders, so that suspect jobs remain suspect."""
         self._attribution.clear()
         names = self._cluster_state.names.machines
-        recorded = self._cluster_state.machines_by_failing_job
+        recorded = self._cluster_state.machines_by_suspect_job
         for job in self._cluster_state.open_jobs.values():
-            if job.done_count:
+            if job.finished_count:
                 self._attribution.on_proven(job.index)
             elif job.id in recorded:
                 machines = [names.index(name) for name in recorded[job.id]]
@@ -64,13 +64,13 @@
             for job in map(self._cluster_state.jobs.__getitem__, self._attribution.unproven())
             if job.final_status is None
             and self.is_suspect(job)
-            and job.id not in self._cluster_state.machines_by_failing_job
+            and job.id not in self._cluster_state.machines_by_suspect_job
         }
 
     def cleared_suspects(self) -> list[str]:
         """Return the ids of jobs that have a record but have ended or are no longer suspect."""
         cleared = []
-        for job_id in self._cluster_state.machines_by_failing_job:
+        for job_id in self._cluster_state.machines_by_suspect_job:
             job = self._cluster_state.jobs_by_id.get(job_id)
             if job is not None and (job.final_status is not None or not self.is_suspect(job)):
                 cleared.append(job_id)
--- a/petrelthread/fleet/task_reconciler.py
+++ b/petrelthread/fleet/task_reconciler.py
@@ -174,7 +174,7 @@
         if job.final_status is None:
             self._outcomes.finish(job, attempt.task)
         else:
-            self._cluster_state.release(attempt, done=True)
+            self._cluster_state.release(attempt, task_finished=True)
 
     # ---- missing tasks ---------------------------------------------------------------------------
 
--- a/petrelthread/fleet/test_task_reconciler.py
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -30,7 +30,7 @@
     fleet.finished_tasks.clear()
     fleet.on_heartbeat(heartbeat(4, tasks=[done]), 106.0, answered=True)
     assert not fleet.finished_tasks
-    assert fleet.cluster_state.jobs[0].done_count == 1
+    assert fleet.cluster_state.jobs[0].finished_count == 1
     assert not fleet.attempts_on(machine)
 
 
--- a/petrelthread/job_api/queries.py
+++ b/petrelthread/job_api/queries.py
@@ -49,7 +49,7 @@
             return job_not_found()
         running = 0 if job.final_status is not None else len(job.live_attempts)
         return json_response(
-            HTTPStatus.OK, protocol.job_response(job_id, job.status, job.done_count, running)
+            HTTPStatus.OK, protocol.job_response(job_id, job.status, job.finished_count, running)
         )
 
     async def cancel(self, job_id: str) -> Response:
--- a/petrelthread/job_api/validation.py
+++ b/petrelthread/job_api/validation.py
@@ -67,11 +67,11 @@
     # One task of an array must fit the limit; the others can run after it.
     concurrent_tasks = 1 if spec.kind == JobKind.ARRAY else spec.task_count
     cores, accelerators = concurrent_tasks * spec.cores, concurrent_tasks * spec.accelerators
-    if cores > team.most_cores + REQUEST_TOLERANCE:
+    if cores > team.max_cores + REQUEST_TOLERANCE:
         raise UnschedulableJobError(
             f"takes {cores:g} cores at once, team limit is {team.cpus_max:g}"
         )
-    if accelerators > team.most_accelerators + REQUEST_TOLERANCE:
+    if accelerators > team.max_accelerators + REQUEST_TOLERANCE:
         raise UnschedulableJobError(
             f"takes {accelerators:g} accelerators at once, team limit is {team.gpus_max:g}"
         )
--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -103,7 +103,7 @@
 
     def demands(self, now: float) -> list[Demand]:
         """Expected demands of urgent job classes, then those of open jobs in scheduling order."""
-        quotas = [TeamQuota(team.most_cores, team.most_accelerators) for team in self._view.teams]
+        quotas = [TeamQuota(team.max_cores, team.max_accelerators) for team in self._view.teams]
         demands = self._expected_demands()
         for entry in self._view.job_order():
             job = self._cluster_state.jobs[entry.job_index]
@@ -123,7 +123,7 @@
     def _unfinished_tasks(self, job: Job, now: float) -> int:
         """Number of unfinished tasks for which machines may be scaled out."""
         unfinished = (
-            job.task_count - job.done_count - len(self._fleet.finished_tasks.get(job.index, ()))
+            job.task_count - job.finished_count - len(self._fleet.finished_tasks.get(job.index, ()))
         )
         if now < job.retry_at:
             return 0
--- a/petrelthread/provisioning/planner.py
+++ b/petrelthread/provisioning/planner.py
@@ -173,8 +173,8 @@
     needed = work = 0.0
     for demand in sorted(demands, key=lambda d: (d.best_effort, d.deadline_in_s)):
         work += demand.work_s * demand.cores
-        due_s = max(options.due_least_s, demand.deadline_in_s * options.due_share)
-        drain_s = options.patient_drain_s if demand.best_effort else options.on_demand_drain_s
+        due_s = max(options.min_due_s, demand.deadline_in_s * options.due_share)
+        drain_s = options.best_effort_drain_s if demand.best_effort else options.on_demand_drain_s
         needed = max(needed, work / (min(due_s, drain_s) * time_factor))
     return needed
 
@@ -269,7 +269,7 @@
         in_time = _cores_to_finish_in_time(demands, options, time_factor)
         on_demand = max(min_cores, min(usable_cores, in_time))
         in_shorter_time = _cores_to_finish_in_time(
-            demands, options, time_factor * options.keep_share
+            demands, options, time_factor * options.keep_time_factor
         )
         retained = max(min(usable_cores, in_shorter_time), on_demand)
         return _CoreTargets(spot, on_demand, retained, schedulable_cores)
--- a/petrelthread/scheduling/claim_applier.py
+++ b/petrelthread/scheduling/claim_applier.py
@@ -50,7 +50,7 @@
         """Apply a committed claim; ``now`` is the event loop time of the round's decision."""
         for key in claim.deleted_keys:
             self._apply_deletion(key)
-        self._cluster_state.machines_by_failing_job.update(claim.suspects)
+        self._cluster_state.machines_by_suspect_job.update(claim.suspects)
         for job in claim.completed:
             self._complete(job)
         if claim.finished_tasks_number:
@@ -97,7 +97,7 @@
     def _complete(self, job: Job) -> None:
         self._fleet.finished_tasks.pop(job.index, None)
         for attempt in list(job.live_attempts.values()):
-            self._cluster_state.release(attempt, done=True)
+            self._cluster_state.release(attempt, task_finished=True)
         self._cluster_state.set_final_status(job.id, protocol.JobStatus.DONE)
         log.debug(
             "job %s (class %s, team %s) done: %d tasks, %.1f s after acceptance, estimated minimum"
@@ -115,9 +115,9 @@
         if kind == KeyKind.ROUND:
             self._cluster_state.attempts_by_round.pop(int(rest), None)
         elif kind == KeyKind.FINISHED_TASKS:
-            self._cluster_state.open_jobs_by_done_record.pop(int(rest), None)
-        elif kind == KeyKind.FAILING_JOB:
-            self._cluster_state.machines_by_failing_job.pop(rest, None)
+            self._cluster_state.open_jobs_by_finished_task_record.pop(int(rest), None)
+        elif kind == KeyKind.SUSPECT_JOB:
+            self._cluster_state.machines_by_suspect_job.pop(rest, None)
         elif key in self._obsolete_keys:
             self._obsolete_keys.remove(key)
 
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -110,11 +110,11 @@
             # Another leader, or an abandoned claim of this one, may have recorded some of these
             # tasks. Counting a task twice would complete the job too soon.
             tasks = {task for task in reported if job.task_states[task] != TASK_FINISHED}
-            if not tasks and job.done_count < job.task_count:
+            if not tasks and job.finished_count < job.task_count:
                 del self._fleet.finished_tasks[job_index]
                 continue
             self._fleet.finished_tasks[job_index] = tasks
-            if job.done_count + len(tasks) >= job.task_count:
+            if job.finished_count + len(tasks) >= job.task_count:
                 finished.completed.append(job)
             else:
                 finished.tasks_by_job[job.id] = list(tasks)
@@ -123,7 +123,7 @@
     def _release_exited(self, job: Job) -> None:
         for attempt in list(job.live_attempts.values()):
             if attempt.has_exited:
-                self._cluster_state.release(attempt, done=True)
+                self._cluster_state.release(attempt, task_finished=True)
 
     # ---- starts and stops ---------------------------------------------------------------------
 
@@ -178,7 +178,7 @@
         available = max(0, self._max_operations - len(claim.operations))
         for job_id in list(suspects)[:available]:
             claim.suspects[job_id] = suspects[job_id]
-            claim.put(KeyKind.FAILING_JOB.key(job_id), suspects[job_id])
+            claim.put(KeyKind.SUSPECT_JOB.key(job_id), suspects[job_id])
 
     def _add_deletions(self, claim: RoundClaim, now: float) -> None:
         """Delete settled records as far as the write rate has spare capacity.
@@ -188,11 +188,12 @@
         cluster_state = self._cluster_state
         settled = [KeyKind.ROUND.key(number) for number in cluster_state.settled_rounds()]
         settled += [
-            KeyKind.FINISHED_TASKS.key(number) for number in cluster_state.obsolete_done_records()
+            KeyKind.FINISHED_TASKS.key(number)
+            for number in cluster_state.obsolete_finished_task_records()
         ]
         settled += self._obsolete_keys
         settled += [
-            KeyKind.FAILING_JOB.key(job_id)
+            KeyKind.SUSPECT_JOB.key(job_id)
             for job_id in self._fleet.job_failures.cleared_suspects()
         ]
         written = len(claim.operations)
--- a/petrelthread/scheduling/cluster_view.py
+++ b/petrelthread/scheduling/cluster_view.py
@@ -91,9 +91,9 @@
         team = self.teams[job.team]
         max_parallel = float(job.task_count)
         if job.cores > 0:
-            max_parallel = min(max_parallel, team.most_cores // job.cores)
+            max_parallel = min(max_parallel, team.max_cores // job.cores)
         if job.accelerators > 0:
-            max_parallel = min(max_parallel, team.most_accelerators // job.accelerators)
+            max_parallel = min(max_parallel, team.max_accelerators // job.accelerators)
         return math.ceil(task_count / max(1.0, max_parallel))
 
     def critical_path_s(self, job: Job) -> float:
@@ -101,12 +101,12 @@
         run_s = self.estimates.run_s(job)
         team = self.teams[job.team]
         finished = len(self._fleet.finished_tasks.get(job.index, ()))
-        unfinished = job.task_count - job.done_count - finished
+        unfinished = job.task_count - job.finished_count - finished
         quota_share = 0.0
         if job.cores > 0:
-            quota_share = max(quota_share, unfinished * job.cores / team.most_cores)
+            quota_share = max(quota_share, unfinished * job.cores / team.max_cores)
         if job.accelerators > 0:
-            share = unfinished * job.accelerators / team.most_accelerators
+            share = unfinished * job.accelerators / team.max_accelerators
             quota_share = max(quota_share, share)
         return run_s * quota_share
 
@@ -143,7 +143,7 @@
         )
 
     def _batch_entry(self, job: Job) -> QueueEntry:
-        unfinished = job.task_count - job.done_count
+        unfinished = job.task_count - job.finished_count
         run_s = self.estimates.run_s(job)
         live = len(job.live_attempts)
         # A live task counts as half finished.
@@ -159,9 +159,9 @@
             job.task_count * job.accelerators,
             run_s,
             self.estimates.tail_s(job),
-            min(unfinished * job.cores, self.teams[job.team].most_cores),
+            min(unfinished * job.cores, self.teams[job.team].max_cores),
             remaining_s * job.cores,
-            live > 0 or job.done_count > 0,
+            live > 0 or job.finished_count > 0,
         )
 
     def placement_request(self, job: Job) -> PlacementRequest:
--- a/petrelthread/scheduling/preemption_candidates.py
+++ b/petrelthread/scheduling/preemption_candidates.py
@@ -52,7 +52,7 @@
         return False  # a gang would lose all its tasks; a replica would be restarted first
     # The first and only task of a job that started overdue is never preempted. It has just started,
     # so its preemption would cost least and it would be preempted repeatedly.
-    is_first_task = len(job.live_attempts) == 1 and not job.done_count
+    is_first_task = len(job.live_attempts) == 1 and not job.finished_count
     return not (is_first_task and wall_now > job.accepted_at + MAX_START_DELAY_S)
 
 
--- a/petrelthread/scheduling/round_planner.py
+++ b/petrelthread/scheduling/round_planner.py
@@ -150,7 +150,7 @@
     def _quota_headroom(self, usage: list[TeamUsage]) -> list[QuotaHeadroom]:
         """Compute the quota headroom of each team, by team index."""
         return [
-            QuotaHeadroom(team.most_cores - used.cores, team.most_accelerators - used.accelerators)
+            QuotaHeadroom(team.max_cores - used.cores, team.max_accelerators - used.accelerators)
             for team, used in zip(self._view.teams, usage, strict=False)
         ]
 
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -180,4 +180,4 @@
             # The epoch of the claim has ended: the record is applied as on any other controller.
             self._cluster_state.apply_round(number, decode_round(entries))
         else:
-            self._cluster_state.settle_unsent_round(number)
+            self._cluster_state.settle_round(number)
--- a/petrelthread/scheduling/start_validator.py
+++ b/petrelthread/scheduling/start_validator.py
@@ -167,8 +167,8 @@
         accelerators = used.accelerators + usage.accelerators.get(job.team, 0.0)
         accelerators += job.accelerators
         if (
-            cores > team.most_cores + CAPACITY_TOLERANCE
-            or accelerators > team.most_accelerators + CAPACITY_TOLERANCE
+            cores > team.max_cores + CAPACITY_TOLERANCE
+            or accelerators > team.max_accelerators + CAPACITY_TOLERANCE
         ):
             return Violation.TEAM_QUOTA
         return None
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -95,7 +95,7 @@
 @cluster_test
 def test_start_beyond_team_quota_is_refused(cluster: Cluster) -> None:
     case = Case(cluster)
-    quota = int(cluster.settings.cluster.teams[0].most_cores)
+    quota = int(cluster.settings.cluster.teams[0].max_cores)
     other = cluster.accept(job("wk-000002", 1, cores=quota - 2.0))
     cluster.cluster_state.add_attempt(1, other, 0, case.machines[A].index, 1)
     assert case.refused((0, A), (1, A), (2, B)) == [(2, Violation.TEAM_QUOTA)]
--- a/petrelthread/settings/model.py
+++ b/petrelthread/settings/model.py
@@ -38,12 +38,12 @@
     gpus_max: float = 0.0
 
     @property
-    def most_cores(self) -> float:
+    def max_cores(self) -> float:
         """Maximum number of cores that the team's tasks may use at once."""
         return self.cpus_max or UNLIMITED
 
     @property
-    def most_accelerators(self) -> float:
+    def max_accelerators(self) -> float:
         """Maximum number of accelerators that the team's tasks may use at once."""
         return self.gpus_max or UNLIMITED
 
--- a/petrelthread/settings/test_settings.py
+++ b/petrelthread/settings/test_settings.py
@@ -21,9 +21,9 @@
     """DEPLOY says "0 means none". Taken as 0 cores, the limit refused all jobs of such a team."""
     guest = parse(VALID).cluster.teams[-1]
     assert (guest.name, guest.cpus, guest.cpus_max) == ("guest", 0.0, 0.0)
-    assert guest.most_cores > 1e9
-    assert guest.most_accelerators > 1e9
-    assert parse(VALID).cluster.teams[0].most_cores == 12.0
+    assert guest.max_cores > 1e9
+    assert guest.max_accelerators > 1e9
+    assert parse(VALID).cluster.teams[0].max_cores == 12.0
 
 
 @pytest.mark.parametrize(
--- a/petrelthread/state/attempt_table.py
+++ b/petrelthread/state/attempt_table.py
@@ -50,15 +50,15 @@
         round_attempts.add(attempt)
         return attempt
 
-    def release(self, attempt: Attempt, done: bool = False) -> None:
+    def release(self, attempt: Attempt, task_finished: bool = False) -> None:
         """Remove an attempt that is known not to run now or later.
 
         Args:
             attempt: the attempt; removing it twice has no effect.
-            done: whether its task has finished; otherwise the task may be placed again.
+            task_finished: whether its task has finished; otherwise the task may be placed again.
         """
         job, task = attempt.job, attempt.task
-        if attempt.state is not OperationState.SUPERSEDED and not done:
+        if attempt.state is not OperationState.SUPERSEDED and not task_finished:
             transition(attempt, OperationState.SUPERSEDED)
         if job.live_attempts.get(task) is attempt:
             del job.live_attempts[task]
@@ -90,7 +90,7 @@
                 self.usage.add(attempt)
         return previous
 
-    def settle_unsent_round(self, number: int) -> None:
+    def settle_round(self, number: int) -> None:
         """Release all attempts of a round that was not sent or has ended, and keep its entry."""
         self.remove_round(number)
         self.attempts_by_round[number] = set()
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -47,9 +47,9 @@
         jobs: all jobs, by index.
         jobs_by_id: all jobs, by id.
         open_jobs: jobs without a final status, by index.
-        open_jobs_by_done_record: by number of a record of finished tasks, the indices of the open
-            jobs whose tasks it contains.
-        machines_by_failing_job: by id of a suspect job, one that fails everywhere, the names of
+        open_jobs_by_finished_task_record: by number of a record of finished tasks, the indices of
+            the open jobs whose tasks it contains.
+        machines_by_suspect_job: by id of a suspect job, one that fails everywhere, the names of
             machines where it failed.
         scale_out_records: by name of the request.
         scale_in_records: names of the machines to return, by name of the request.
@@ -63,8 +63,8 @@
         self.jobs: list[Job] = []
         self.jobs_by_id: dict[str, Job] = {}
         self.open_jobs: dict[int, Job] = {}
-        self.open_jobs_by_done_record: dict[int, set[int]] = {}
-        self.machines_by_failing_job: dict[str, list[str]] = {}
+        self.open_jobs_by_finished_task_record: dict[int, set[int]] = {}
+        self.machines_by_suspect_job: dict[str, list[str]] = {}
         self.scale_out_records: dict[str, ScaleOutRecord] = {}
         self.scale_in_records: dict[str, list[str]] = {}
         self.catalog: StoredValue = None
@@ -86,12 +86,12 @@
             KeyKind.FINISHED_TASKS: _KeyHandler(
                 stored_records.decode_finished_tasks,
                 lambda number, record: self.apply_finished_tasks(int(number), record),
-                lambda number: self.open_jobs_by_done_record.pop(int(number), None),
+                lambda number: self.open_jobs_by_finished_task_record.pop(int(number), None),
             ),
-            KeyKind.FAILING_JOB: _KeyHandler(
+            KeyKind.SUSPECT_JOB: _KeyHandler(
                 stored_records.decode_machine_names,
-                self.machines_by_failing_job.__setitem__,
-                lambda job_id: self.machines_by_failing_job.pop(job_id, None),
+                self.machines_by_suspect_job.__setitem__,
+                lambda job_id: self.machines_by_suspect_job.pop(job_id, None),
             ),
             KeyKind.SCALE_OUT: _KeyHandler(
                 stored_records.decode_scale_out,
@@ -150,21 +150,21 @@
             job.final_status = final_status
             self.open_jobs.pop(job.index, None)
             for number in job.finished_task_records:
-                open_jobs = self.open_jobs_by_done_record.get(number)
+                open_jobs = self.open_jobs_by_finished_task_record.get(number)
                 if open_jobs is not None:
                     open_jobs.discard(job.index)
             if final_status == protocol.JobStatus.DONE:
-                job.done_count = job.task_count
+                job.finished_count = job.task_count
             job.task_states = bytearray()
 
     def mark_task_finished(self, job: Job, task: int) -> None:
         """Count a task as finished and release its attempt."""
         if job.final_status is None and job.task_states[task] != TASK_FINISHED:
             job.task_states[task] = TASK_FINISHED
-            job.done_count += 1
+            job.finished_count += 1
         attempt = job.live_attempts.get(task)
         if attempt is not None:
-            self.release(attempt, done=True)
+            self.release(attempt, task_finished=True)
 
     # ---- records of rounds and of finished tasks -------------------------------------------
 
@@ -237,9 +237,9 @@
 
     def apply_finished_tasks(self, number: int, record: FinishedTasksRecord) -> None:
         """Mark a record's tasks as finished; a record that was applied before changes nothing."""
-        if number in self.open_jobs_by_done_record:
+        if number in self.open_jobs_by_finished_task_record:
             return
-        open_jobs = self.open_jobs_by_done_record[number] = set()
+        open_jobs = self.open_jobs_by_finished_task_record[number] = set()
         for finished in record:
             job = self.jobs_by_id.get(finished.job_id)
             if job is None:
@@ -258,9 +258,11 @@
         scaled_out = [record.machine_names or () for record in self.scale_out_records.values()]
         return {name for names in [*scaled_out, *self.scale_in_records.values()] for name in names}
 
-    def obsolete_done_records(self) -> list[int]:
+    def obsolete_finished_task_records(self) -> list[int]:
         """Numbers of finished task records that may be deleted, as all their jobs have finished."""
-        return [number for number, jobs in self.open_jobs_by_done_record.items() if not jobs]
+        return [
+            number for number, jobs in self.open_jobs_by_finished_task_record.items() if not jobs
+        ]
 
 
 def _ignore(name: str) -> None:
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -110,8 +110,8 @@
     "zone",
 )
 _PROGRESS = (  # from records of rounds, finished tasks and final statuses
-    "done_count",
     "final_status",
+    "finished_count",
     "finished_task_records",
     "live_attempts",
     "task_states",
@@ -139,7 +139,7 @@
         task_states: one byte for each task: TASK_PENDING, TASK_LIVE or TASK_FINISHED; empty once
             the job has a final status.
         live_attempts: by task.
-        done_count: number of finished tasks.
+        finished_count: number of finished tasks.
         finished_task_records: numbers of the records that hold its finished tasks.
         failing_tasks: tasks whose last attempt failed.
         suspect_since: event loop time at which it last became suspect, that is, began to fail
@@ -160,7 +160,7 @@
         self.final_status: str | None = None
         self.task_states = bytearray(record.task_count)
         self.live_attempts: dict[int, Attempt] = {}
-        self.done_count = 0
+        self.finished_count = 0
         self.finished_task_records: list[int] = []
         self.failing_tasks: set[int] = set()
         self.suspect_since = 0.0
@@ -212,7 +212,7 @@
     @property
     def pending_count(self) -> int:
         """Number of tasks that wait to be placed."""
-        return self.task_count - self.done_count - len(self.live_attempts)
+        return self.task_count - self.finished_count - len(self.live_attempts)
 
     @property
     def status(self) -> str:
--- a/petrelthread/state/stored_records.py
+++ b/petrelthread/state/stored_records.py
@@ -31,7 +31,7 @@
     FINAL_STATUS = "f"  # by job: done or cancelled; created once
     ROUND = "r"  # by record number: RoundRecord
     FINISHED_TASKS = "d"  # by record number: FinishedTasksRecord
-    FAILING_JOB = "s"  # by suspect job (fails everywhere): names of machines where it failed
+    SUSPECT_JOB = "s"  # by suspect job (fails everywhere): names of machines where it failed
     SCALE_OUT = "c"  # by scale-out request: ScaleOutRecord
     SCALE_IN = "x"  # by scale-in request: names of the machines to return
     LEADER = "lead"  # LeaderRecord
--- a/petrelthread/state/test_cluster_state.py
+++ b/petrelthread/state/test_cluster_state.py
@@ -65,7 +65,7 @@
         state = randomness.choice(["running", "ended", "fetching"])
         cluster_state.set_reported_state(attempt, state)
     else:
-        cluster_state.release(attempt, done=randomness.random() < 0.3)
+        cluster_state.release(attempt, task_finished=randomness.random() < 0.3)
 
 
 def assert_usage_equals_recount(cluster_state: ClusterState) -> None:
--- a/petrelthread/state/test_record_packing.py
+++ b/petrelthread/state/test_record_packing.py
@@ -72,4 +72,4 @@
             job = cluster_state.jobs_by_id[job_id]
             states = enumerate(job.task_states)
             assert {task for task, state in states if state == TASK_FINISHED} == tasks
-            assert job.done_count == len(tasks)
+            assert job.finished_count == len(tasks)
--- a/petrelthread/state/test_stored_records.py
+++ b/petrelthread/state/test_stored_records.py
@@ -69,10 +69,10 @@
 @pytest.mark.parametrize(
     ("key", "value", "attribute"),
     [
-        ("s/wk-1", ["host-1"], "machines_by_failing_job"),
+        ("s/wk-1", ["host-1"], "machines_by_suspect_job"),
         ("c/1-1", {"t": "small", "z": "a", "s": True, "n": 1, "at": 1.5}, "scale_out_records"),
         ("x/1-2", ["host-1"], "scale_in_records"),
-        ("d/7", [], "open_jobs_by_done_record"),
+        ("d/7", [], "open_jobs_by_finished_task_record"),
         ("r/8", [], "attempts_by_round"),
     ],
 )
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -137,7 +137,7 @@
         self.deployment = deployment
         cluster = deployment.settings_of(deployment.nodes[0]).cluster
         self.workers, self.state_limits = cluster.workers, cluster.state
-        self.limits = {team.name: team.most_cores for team in cluster.teams}
+        self.limits = {team.name: team.max_cores for team in cluster.teams}
         self.random = random.Random(seed)
         self.run_s = 5.0
         self.run_s_by_job: dict[str, float] = {}  # by job id; others run for run_s
--- a/tests/test_faulty_jobs_and_machines.py
+++ b/tests/test_faulty_jobs_and_machines.py
@@ -92,7 +92,7 @@
         simulation.failing_tasks |= {f"wk-000001/{n}" for n in (0, 1, 2, 3, 7)}
         await asyncio.sleep(75.0)
         node = simulation.nodes[await simulation.wait_for_leader()]
-        assert node.cluster_state.jobs_by_id["wk-000001"].done_count == 25
+        assert node.cluster_state.jobs_by_id["wk-000001"].finished_count == 25
         assert (
             simulation.checker.statuses.get("wk-000002")
             or node.cluster_state.jobs_by_id["wk-000002"].final_status == "done"
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -55,7 +55,7 @@
         False,
     )
     assert (second.single_zone, second.spread_zones, second.spot_allowed) == (True, True, True)
-    assert (second.done_count, second.pending_count, second.deadline_s) == (3, 1, 90.0)
+    assert (second.finished_count, second.pending_count, second.deadline_s) == (3, 1, 90.0)
     assert third.final_status == "aborted"
     assert set(third.live_attempts) == {2}
     assert {task: a.number for task, a in first.live_attempts.items()} == {0: 4194305, 1: 4194305}
--- a/tests/test_golden_stored_keys.py
+++ b/tests/test_golden_stored_keys.py
@@ -87,7 +87,7 @@
     for revision, (key, value) in enumerate(case_input("stored_keys", "keys read", case), 1):
         cluster_state.on_key(key, value, revision)
     jobs = {
-        job.id: [job.status, job.done_count, job.pending_count]
+        job.id: [job.status, job.finished_count, job.pending_count]
         + [
             attempt_facts(cluster_state, attempt)
             for _, attempt in sorted(job.live_attempts.items())
@@ -96,7 +96,7 @@
     }
     machines = sorted(cluster_state.recorded_machines())
     expect(
-        "stored_keys", "keys read", case, [jobs, machines, cluster_state.machines_by_failing_job]
+        "stored_keys", "keys read", case, [jobs, machines, cluster_state.machines_by_suspect_job]
     )
 
 
