--- a/petrelthread/admin/explain.py
+++ b/petrelthread/admin/explain.py
@@ -120,7 +120,7 @@
 
 def _machine_capacities(parts: ControllerParts) -> list[MachineCapacity]:
     capacity = parts.cluster_view.free_capacity()
-    return [*capacity.usable.machines.values(), *capacity.surplus.machines.values()]
+    return [*capacity.usable.machines.values(), *capacity.cordoned_spot.machines.values()]
 
 
 def _has_room(parts: ControllerParts, job: Job, _now: float) -> str:
--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated.py
@@ -87,8 +87,8 @@
         self._tasks_per_job = machines // RUNNING_JOBS
         self.state: ClusterState = self.controller.cluster_state
         now = asyncio.get_running_loop().time()
-        self.controller.fleet.fail_over(EPOCH, now)
-        self.controller.scheduler.fail_over(EPOCH)
+        self.controller.fleet.begin_leadership(EPOCH, now)
+        self.controller.scheduler.begin_epoch(EPOCH)
         self.controller.provisioner.machine_types[self.state.names.machine_types.index("small")] = (
             MACHINE_TYPE
         )
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -136,7 +136,7 @@
             FleetCallbacks(
                 on_change=lambda: self.scheduler.wake.set(),
                 on_replicas_lost=lambda: self.provisioner.wake.set(),
-                on_run_time=self.estimates.learn,
+                on_run_time=self.estimates.add_run_time,
                 image_cache_gb=self._image_cache_gb,
                 state_current_as_of=lambda: self.watch_cache.current_as_of,
             ),
@@ -310,10 +310,10 @@
         """Rebuild the in-memory state of a leader from the stored state, which was just read."""
         now = asyncio.get_running_loop().time()
         epoch = self.election.epoch
-        self.fleet.fail_over(epoch, now, self.cluster_state.recorded_machines())
+        self.fleet.begin_leadership(epoch, now, self.cluster_state.recorded_machines())
         self.fleet.fencing_token = self.election.fencing_token
-        self.scheduler.fail_over(epoch)
-        self.provisioner.fail_over(now)
+        self.scheduler.begin_epoch(epoch)
+        self.provisioner.begin_epoch(now)
         self.zone_monitor.clear()
         self.heartbeat_handler.discard_recent_heartbeats()
         attempts = self.cluster_state.attempts_by_machine.values()
--- a/petrelthread/fleet/fleet.py
+++ b/petrelthread/fleet/fleet.py
@@ -82,11 +82,13 @@
         """End this controller's leadership: delayed responses for its epoch have no effect."""
         self.epoch = NO_EPOCH
 
-    def fail_over(self, epoch: int, now: float, recorded_machines: Collection[str] = ()) -> None:
+    def begin_leadership(
+        self, epoch: int, now: float, recorded_machines: Collection[str] = ()
+    ) -> None:
         """Begin this controller's leadership; see ``MachineRegistry.begin_epoch``."""
         self.fencing_token = epoch
         self.finished_tasks.clear()  # workers list again what is not recorded yet
-        self.job_failures.fail_over(now)
+        self.job_failures.begin_epoch(now)
         self.begin_epoch(epoch, now, recorded_machines)
 
     def on_heartbeat(
--- a/petrelthread/fleet/job_failures.py
+++ b/petrelthread/fleet/job_failures.py
@@ -33,7 +33,7 @@
         self._machines = machines
         self._attribution = FailureAttribution()
 
-    def fail_over(self, now: float) -> None:
+    def begin_epoch(self, now: float) -> None:
         """Begin with the records of former leaders, so that suspect jobs remain suspect."""
         self._attribution.clear()
         names = self._cluster_state.names.machines
--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -70,7 +70,7 @@
                 shortest_s = self._start_within_s.get(index, objective.within_s)
                 self._start_within_s[index] = min(shortest_s, objective.within_s)
 
-    def fail_over(self, now: float) -> None:
+    def begin_epoch(self, now: float) -> None:
         """Restore the arrivals of services from the jobs accepted under earlier leaders."""
         wall_clock_s = time.time()
         arrivals = [
--- a/petrelthread/provisioning/list_reconciliation.py
+++ b/petrelthread/provisioning/list_reconciliation.py
@@ -27,7 +27,7 @@
         self._last_read_at = float("-inf")
         self.last_success_at = float("-inf")
 
-    def fail_over(self) -> None:
+    def begin_epoch(self) -> None:
         """Make the next list due at once."""
         self._last_read_at = float("-inf")
 
--- a/petrelthread/provisioning/operations.py
+++ b/petrelthread/provisioning/operations.py
@@ -77,7 +77,7 @@
         self._serial += 1
         return f"{self._fleet.epoch}-{self._serial}"
 
-    def fail_over(self, now: float) -> None:
+    def begin_epoch(self, now: float) -> None:
         """Load the recorded operations of earlier leaders."""
         self.by_store_key.clear()
         self._serial = 0
--- a/petrelthread/provisioning/plan.py
+++ b/petrelthread/provisioning/plan.py
@@ -15,7 +15,8 @@
     best_effort_drain_s: float = 600.0  # on_demand_drain_s for jobs without deadline or objective
     due_share: float = 0.7  # share of the time to a deadline that the work may take
     min_due_s: float = 45.0  # lower bound on the time planned for work before a deadline
-    keep_time_factor: float = 0.35  # of time limits that decide which on-demand machines to keep
+    # Factor on time limits that decide which on-demand machines to keep.
+    keep_time_factor: float = 0.35
     on_demand_fill: float = 0.5  # share of an on-demand machine's cores that must be needed
     spot_idle_s: float = 20.0  # idle timeout of surplus spot machines
     on_demand_idle_s: float = 2.0  # idle timeout of surplus on-demand machines
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -104,11 +104,11 @@
         """Number of machines that are late to boot."""
         return self._boot_monitor.late_count(now)
 
-    def fail_over(self, now: float) -> None:
+    def begin_epoch(self, now: float) -> None:
         """Load the stored records as the new leader."""
-        self._operations.fail_over(now)
-        self._reconciler.fail_over()
-        self.forecast.fail_over(now)
+        self._operations.begin_epoch(now)
+        self._reconciler.begin_epoch()
+        self.forecast.begin_epoch(now)
 
     async def step(self, now: float) -> None:
         """Resolve unknown operations, plan, carry out the plan, and reconcile with the list."""
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -48,7 +48,7 @@
         fleet: Fleet,
         validator: StartValidator,
         next_record_number: Callable[[], int],
-        spare_writes: Callable[[float], int],
+        writes_for_deletions: Callable[[float], int],
         obsolete_keys: Sequence[str],
     ) -> None:
         """Initialize the builder.
@@ -59,14 +59,15 @@
             fleet: finished tasks and failures of jobs.
             validator: validates the starts before they are claimed.
             next_record_number: draws an unused record number.
-            spare_writes: returns how many writes deletions may use, given an event loop time.
+            writes_for_deletions: returns how many writes deletions may use, given an event loop
+                time.
             obsolete_keys: keys of further settled records to delete; provisioning adds to it.
         """
         self._cluster_state = cluster_state
         self._fleet = fleet
         self._validator = validator
         self._next_record_number = next_record_number
-        self.spare_writes = spare_writes
+        self.writes_for_deletions = writes_for_deletions
         self._obsolete_keys = obsolete_keys
         self._max_value_bytes = int(limits.value_kb * BYTES_PER_KIB * VALUE_SIZE_SHARE)
         self._max_operations = limits.txn_ops
@@ -146,7 +147,7 @@
             claim.marker = claim.marker or key
         recorded = _started_tasks(packed[:max_records])
         claim.starts = [start for start in starts if (start.job.id, start.task) in recorded]
-        claim.has_more = postponed or len(claim.records) < len(packed)
+        claim.has_postponed = postponed or len(claim.records) < len(packed)
 
     def _require_unfinished(self, starts: list[Start], absent_keys: list[str]) -> list[Start]:
         """Make the claim conditional on each job being neither complete nor cancelled.
@@ -197,7 +198,7 @@
             for job_id in self._fleet.job_failures.cleared_suspects()
         ]
         written = len(claim.operations)
-        available = min(self._max_operations - written, self.spare_writes(now) - written)
+        available = min(self._max_operations - written, self.writes_for_deletions(now) - written)
         claim.deleted_keys = settled[: max(0, available)]
         for key in claim.deleted_keys:
             claim.operations.append(protocol.DeleteOperation(KEY_PREFIX + key))
--- a/petrelthread/scheduling/cluster_view.py
+++ b/petrelthread/scheduling/cluster_view.py
@@ -96,7 +96,7 @@
             max_parallel = min(max_parallel, team.max_accelerators // job.accelerators)
         return math.ceil(task_count / max(1.0, max_parallel))
 
-    def critical_path_s(self, job: Job) -> float:
+    def quota_limited_s(self, job: Job) -> float:
         """Lower bound of the remaining time if the job has its team's whole quota to itself."""
         run_s = self.estimates.run_s(job)
         team = self.teams[job.team]
@@ -135,7 +135,7 @@
             priority=job.priority,
             accepted_at=job.accepted_at,
             objective_times=(),
-            critical_path_s=0.0,
+            quota_limited_s=0.0,
             requested_cores=cores,
             requested_accelerators=job.task_count * job.accelerators,
             parallel_cores=cores,
@@ -154,7 +154,7 @@
             job.priority,
             job.accepted_at,
             self._objectives.times(job),
-            self.critical_path_s(job),
+            self.quota_limited_s(job),
             job.task_count * job.cores,
             job.task_count * job.accelerators,
             run_s,
--- a/petrelthread/scheduling/free_capacity.py
+++ b/petrelthread/scheduling/free_capacity.py
@@ -17,7 +17,7 @@
 class FreeCapacity:
     """Two indexes of the schedulable machines.
 
-    ``usable`` holds the machines that are not cordoned. ``surplus`` holds the cordoned spot
+    ``usable`` holds the machines that are not cordoned. ``cordoned_spot`` holds the cordoned spot
     machines, which get only tasks that fit on no usable machine.
 
     ``UsageTracker.changed_machines`` must receive each machine whose schedulability or free
@@ -37,7 +37,7 @@
         self._epoch = -1
         self._known_types: MachineTypes = {}
         self.usable = CapacityIndex()
-        self.surplus = CapacityIndex()
+        self.cordoned_spot = CapacityIndex()
         # Type of each machine that accepts work or is booting, and number of these machines by
         # type. They count even before they acknowledge the current epoch.
         self._type_by_machine: dict[int, int] = {}
@@ -52,7 +52,7 @@
 
     def machines(self) -> dict[int, MachineCapacity]:
         """Return the machines of both indexes, by machine index."""
-        return self.surplus.machines | self.usable.machines
+        return self.cordoned_spot.machines | self.usable.machines
 
     def refresh(self) -> None:
         """Bring both indexes up to date.
@@ -64,7 +64,7 @@
         machine_types = self._machine_types()
         if self._epoch != self._fleet.epoch or self._known_types != machine_types:
             self._epoch, self._known_types = self._fleet.epoch, dict(machine_types)
-            changed |= self.usable.machines.keys() | self.surplus.machines.keys()
+            changed |= self.usable.machines.keys() | self.cordoned_spot.machines.keys()
             changed |= self._type_by_machine.keys()
             self._type_by_machine.clear()
             self._count_by_type.clear()
@@ -75,13 +75,13 @@
 
     def discard_decisions(self) -> None:
         """Make the next refresh undo a round's changes; only a committed claim takes capacity."""
-        for index in (self.usable, self.surplus):
+        for index in (self.usable, self.cordoned_spot):
             self._cluster_state.usage.changed_machines |= index.modified_machines
             index.modified_machines.clear()
 
     def _update(self, machine_index: int) -> None:
         self.usable.discard(machine_index)
-        self.surplus.discard(machine_index)
+        self.cordoned_spot.discard(machine_index)
         machine = self._fleet.machines.get(machine_index)
         self._update_type_count(machine_index, machine)
         if machine is None or not self._fleet.is_schedulable(machine):
@@ -92,7 +92,7 @@
         if not machine.cordoned:
             self.usable.put(capacity)
         elif machine.spot:
-            self.surplus.put(capacity)
+            self.cordoned_spot.put(capacity)
 
     def _update_type_count(self, machine_index: int, machine: Machine | None) -> None:
         counted_type = self._type_by_machine.pop(machine_index, None)
--- a/petrelthread/scheduling/on_time_selection.py
+++ b/petrelthread/scheduling/on_time_selection.py
@@ -50,7 +50,7 @@
             heapq.heappush(self.free_at, (start_at + duration_s, taken))
             needed -= taken
             end = start_at + duration_s
-        team_end = self.team_completion_times.get(entry.team, self.now) + entry.critical_path_s
+        team_end = self.team_completion_times.get(entry.team, self.now) + entry.quota_limited_s
         self.team_completion_times[entry.team] = team_end
         return max(end, team_end) + entry.tail_s
 
@@ -96,8 +96,8 @@
     return (commitment.entry.remaining_core_s, commitment.entry.job_index)
 
 
-def _by_critical_path(commitment: Commitment) -> tuple[float, int]:
-    return (commitment.entry.critical_path_s, commitment.entry.job_index)
+def _by_quota_limited_time(commitment: Commitment) -> tuple[float, int]:
+    return (commitment.entry.quota_limited_s, commitment.entry.job_index)
 
 
 def _select_on_time(candidates: list[Commitment], timeline: CapacityTimeline) -> list[Commitment]:
@@ -124,9 +124,9 @@
     """The job to drop: one of the candidate's team if the team's quota makes it late."""
     entry = candidate.entry
     team_jobs = [commitment for commitment in on_time if commitment.entry.team == entry.team]
-    team_end = now + sum(other.entry.critical_path_s for other in team_jobs) + entry.tail_s
+    team_end = now + sum(other.entry.quota_limited_s for other in team_jobs) + entry.tail_s
     if team_end > candidate.due_at:
-        return max(team_jobs, key=_by_critical_path)
+        return max(team_jobs, key=_by_quota_limited_time)
     return max(on_time, key=_by_work)
 
 
--- a/petrelthread/scheduling/queue_entry.py
+++ b/petrelthread/scheduling/queue_entry.py
@@ -15,7 +15,7 @@
         accepted_at: wall clock time in seconds.
         objective_times: completion times of its objectives in wall clock seconds, ascending; if one
             can't be reached, the next one counts.
-        critical_path_s: its remaining time if only its team's quota limited it.
+        quota_limited_s: its remaining time if only its team's quota limited it.
         requested_cores: cores of the whole job, finished tasks included.
         requested_accelerators: accelerators of the whole job, finished tasks included.
         run_s: estimated run time of one task.
@@ -31,7 +31,7 @@
     priority: int
     accepted_at: float
     objective_times: tuple[float, ...]
-    critical_path_s: float
+    quota_limited_s: float
     requested_cores: float
     requested_accelerators: float
     run_s: float = 0.0
@@ -44,7 +44,7 @@
     @property
     def min_remaining_s(self) -> float:
         """Minimum time from now until the job is complete."""
-        return max(self.critical_path_s, self.run_s) + self.tail_s
+        return max(self.quota_limited_s, self.run_s) + self.tail_s
 
 
 class QueuedJob(NamedTuple):
--- a/petrelthread/scheduling/round_claim.py
+++ b/petrelthread/scheduling/round_claim.py
@@ -34,7 +34,7 @@
         starts: the starts that ``records`` contain.
         suspects: by id of a newly suspect job, the machines on which the job failed.
         deleted_keys: keys of settled records to delete, without the common prefix.
-        has_more: whether some of the decided starts or stops have to wait for a later round.
+        has_postponed: whether some of the decided starts or stops have to wait for a later round.
     """
 
     stops: list[Attempt]
@@ -48,7 +48,7 @@
     starts: list[Start] = field(default_factory=list)
     suspects: dict[str, list[str]] = field(default_factory=dict)
     deleted_keys: list[str] = field(default_factory=list)
-    has_more: bool = False
+    has_postponed: bool = False
 
     def put(self, key: str, value: object) -> None:
         """Add an operation that writes a key, which is given without the common prefix."""
--- a/petrelthread/scheduling/round_planner.py
+++ b/petrelthread/scheduling/round_planner.py
@@ -67,7 +67,7 @@
         self._resume_position = 0  # position of the request that the next round places first
         self.reserved_machines: dict[int, int] = {}
 
-    def fail_over(self) -> None:
+    def begin_epoch(self) -> None:
         """Discard the reservations and the resume position of the previous epoch."""
         self._resume_position = 0
         self.reserved_machines.clear()
@@ -188,11 +188,11 @@
             requests, capacity.usable, quotas, self._resume_position, lambda: clock() >= stop_at
         )
         self._resume_position = result.resume_position
-        if result.resume_position or not capacity.surplus.machines:
+        if result.resume_position or not capacity.cordoned_spot.machines:
             return result
         remaining = _remaining_requests(requests, result.task_counts())
-        on_surplus = place_requests(remaining, capacity.surplus, quotas)
-        return PlacementResult(result.placed + on_surplus.placed, 0)
+        on_cordoned_spot = place_requests(remaining, capacity.cordoned_spot, quotas)
+        return PlacementResult(result.placed + on_cordoned_spot.placed, 0)
 
     def _assign_tasks(self, placed: list[JobPlacement]) -> list[Start]:
         """Assign a pending task of the job to each machine that was chosen for the job."""
--- a/petrelthread/scheduling/run_time_estimates.py
+++ b/petrelthread/scheduling/run_time_estimates.py
@@ -23,7 +23,7 @@
         self._variance: dict[int, float] = {}
         self._observations: dict[int, int] = {}
 
-    def learn(self, job: Job, ran_s: float) -> None:
+    def add_run_time(self, job: Job, ran_s: float) -> None:
         """Update the estimates of the job's class with the run time of a finished task."""
         if job.estimated_run_s <= 0:
             return
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -14,7 +14,7 @@
 from petrelthread.scheduling.cluster_view import ClusterView
 from petrelthread.scheduling.round_claim import RoundClaim
 from petrelthread.scheduling.round_planner import RoundDecision, RoundPlanner
-from petrelthread.scheduling.spot_reclaim import attempts_cut_short
+from petrelthread.scheduling.spot_reclaim import attempts_unfinished_at_reclaim
 from petrelthread.scheduling.start_validator import StartValidator
 from petrelthread.settings import Settings
 from petrelthread.state import RECORDS_PER_EPOCH, ClusterState, decode_round, epoch_base_number
@@ -46,7 +46,7 @@
         dispatcher: CommandDispatcher,
         view: ClusterView,
         refresh: Callable[[], Awaitable[bool]],
-        spare_writes: Callable[[float], int],
+        writes_for_deletions: Callable[[float], int],
     ) -> None:
         """Initialize the scheduler.
 
@@ -59,7 +59,8 @@
             view: capacity and scheduling order.
             refresh: updates the cluster state from the state service; returns False if the service
                 is unreachable.
-            spare_writes: returns how many writes deletions may use, given an event loop time.
+            writes_for_deletions: returns how many writes deletions may use, given an event loop
+                time.
         """
         self._cluster_state = cluster_state
         self._fleet = fleet
@@ -78,7 +79,7 @@
             fleet,
             validator,
             self.next_record_number,
-            spare_writes,
+            writes_for_deletions,
             self.obsolete_keys,
         )
         self._applier = ClaimApplier(
@@ -93,10 +94,10 @@
         """The machine reserved for each overdue job that fits on no machine, by job index."""
         return self._planner.reserved_machines
 
-    def fail_over(self, epoch: int) -> None:
+    def begin_epoch(self, epoch: int) -> None:
         """Reset the scheduler at the start of a new epoch."""
         self._last_record_number = epoch_base_number(epoch)
-        self._planner.fail_over()
+        self._planner.begin_epoch()
         self.obsolete_keys.clear()
 
     def next_record_number(self) -> int:
@@ -118,7 +119,7 @@
 
     async def run_round(self, now: float) -> bool:
         """Decide and claim one round. Returns whether another round should follow at once."""
-        stops = attempts_cut_short(self._fleet, self._view.estimates, now)
+        stops = attempts_unfinished_at_reclaim(self._fleet, self._view.estimates, now)
         decision = self.decide(now)
         claim = self.claim_builder.build(decision.starts, stops + decision.preemptions, now)
         if not claim.operations:
@@ -142,7 +143,7 @@
             log.info("claim rejected; keys with failed conditions: %s", ", ".join(failed_keys))
             return await self._refresh()
         self._applier.apply(claim, now)
-        return claim.has_more or bool(self._fleet.finished_tasks)
+        return claim.has_postponed or bool(self._fleet.finished_tasks)
 
     async def _claim(self, claim: RoundClaim) -> tuple[ClaimOutcome, tuple[str, ...]]:
         self._records_in_flight = dict.fromkeys((record.number for record in claim.records), None)
--- a/petrelthread/scheduling/spot_reclaim.py
+++ b/petrelthread/scheduling/spot_reclaim.py
@@ -8,7 +8,9 @@
 from petrelthread.state import Attempt
 
 
-def attempts_cut_short(fleet: Fleet, estimates: RunTimeEstimates, now: float) -> list[Attempt]:
+def attempts_unfinished_at_reclaim(
+    fleet: Fleet, estimates: RunTimeEstimates, now: float
+) -> list[Attempt]:
     """Attempts that are not expected to finish before their machine is reclaimed.
 
     Removes terminated machines from ``fleet.machines_with_notice``.
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -123,7 +123,7 @@
     for start in claim.starts:
         recorded[start.job.id] = recorded.get(start.job.id, 0) + 1
     assert recorded == {"wk-000001": 9}
-    assert claim.has_more
+    assert claim.has_postponed
     in_records = sum(
         len(tasks_of_job.tasks)
         for _, record in claim.records
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -51,9 +51,9 @@
 def recomputed_capacity(
     cluster: Cluster,
 ) -> tuple[dict[int, CapacitySnapshot], dict[int, CapacitySnapshot]]:
-    """Usable and surplus capacity, recomputed from the attempts on every machine."""
+    """Usable and cordoned spot capacity, recomputed from the attempts on every machine."""
     usable: dict[int, CapacitySnapshot] = {}
-    surplus: dict[int, CapacitySnapshot] = {}
+    cordoned_spot: dict[int, CapacitySnapshot] = {}
     for machine in cluster.fleet.machines.values():
         machine_type = cluster.types.get(machine.machine_type)
         if machine_type is None or not cluster.fleet.is_schedulable(machine):
@@ -71,8 +71,8 @@
         if not machine.cordoned:
             usable[machine.index] = snapshot
         elif machine.spot:
-            surplus[machine.index] = snapshot
-    return usable, surplus
+            cordoned_spot[machine.index] = snapshot
+    return usable, cordoned_spot
 
 
 class RandomChanges:
@@ -97,7 +97,7 @@
             self.end_attempt,
             self.change_schedulability,
             self.change_images,
-            self.fail_over,
+            self.begin_epoch,
         ]
         self.random.choice(actions)()
 
@@ -158,11 +158,11 @@
             else:
                 machine.use_image(self.random.randrange(9), 3.0, 10.0)
 
-    def fail_over(self) -> None:
+    def begin_epoch(self) -> None:
         """Start a new epoch in 3 % of calls; a third of the machines, not recorded, are dropped."""
         if self.random.random() < 0.03:
             keep = [m.name for m in self.cluster.fleet.machines.values() if m.index % 3]
-            self.cluster.fleet.fail_over(self.cluster.fleet.epoch + 1, now(), keep)
+            self.cluster.fleet.begin_leadership(self.cluster.fleet.epoch + 1, now(), keep)
             for machine in self.cluster.fleet.machines.values():
                 machine.acknowledged_epoch = self.cluster.fleet.epoch
 
@@ -177,13 +177,13 @@
         changes.change()
         if step % 3 == 0:  # a refresh covers several changes
             free.refresh()
-            usable, surplus = recomputed_capacity(cluster)
+            usable, cordoned_spot = recomputed_capacity(cluster)
             assert free.cores() == sum(
                 cluster.types[m.machine_type].cores
                 for m in cluster.fleet.machines.values()
                 if m.accepts_work or m.health is Health.BOOTING
             )
-            for index, expected in ((free.usable, usable), (free.surplus, surplus)):
+            for index, expected in ((free.usable, usable), (free.cordoned_spot, cordoned_spot)):
                 got = {m: snapshot_of(machine) for m, machine in index.machines.items()}
                 assert got == expected
                 compared += len(expected)
--- a/petrelthread/scheduling/test_job_order.py
+++ b/petrelthread/scheduling/test_job_order.py
@@ -19,7 +19,7 @@
     priority: int,
     accepted_at: float,
     objective_times: list[float],
-    critical_path_s: float,
+    quota_limited_s: float,
 ) -> QueueEntry:
     """A job that has started and is limited by its team's quota alone."""
     return QueueEntry(
@@ -28,7 +28,7 @@
         priority,
         accepted_at,
         tuple(objective_times),
-        critical_path_s,
+        quota_limited_s,
         100.0,
         0.0,
         started=True,
--- a/tests/fleet_builder.py
+++ b/tests/fleet_builder.py
@@ -36,7 +36,7 @@
     spec = msgspec.convert(job(JOB_ID, task_count), protocol.JobSpec)
     cluster_state.add_job(JOB_ID, JobRecord.from_spec(spec, 0.0))
     fleet = Fleet(cluster_state, LEASE_S, HEARTBEAT_INTERVAL_S, LEASE_GRACE_S, callbacks)
-    fleet.fail_over(EPOCH, elected_at)
+    fleet.begin_leadership(EPOCH, elected_at)
     return fleet
 
 
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -93,7 +93,7 @@
             refresh,
             lambda now: 0,
         )
-        self.scheduler.fail_over(EPOCH)
+        self.scheduler.begin_epoch(EPOCH)
         self.check = StartValidator(self.cluster_state, self.fleet, self.settings.cluster.teams)
         self.builder = ClaimBuilder(
             self.settings.cluster.state,
--- a/tests/test_cloud_faults.py
+++ b/tests/test_cloud_faults.py
@@ -121,7 +121,7 @@
     async def scenario(simulation: Simulation) -> None:
         simulation.cloud.capacity = {True: 0, False: 0}
         node = simulation.nodes[await simulation.wait_for_leader()]
-        node.scheduler.claim_builder.spare_writes = lambda now: 0  # so no record is deleted
+        node.scheduler.claim_builder.writes_for_deletions = lambda now: 0  # so no record is deleted
         await simulation.submit(job("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
         old = set(simulation.cloud.requests)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -45,7 +45,7 @@
             )
             node.scheduler._applier.apply(claim, now)
             rounds += 1
-            assert claim.has_more is bool(job.pending_count)
+            assert claim.has_postponed is bool(job.pending_count)
         assert 3 <= rounds <= 20
         for machine in node.fleet.machines.values():
             assert node.cluster_state.usage.machine(machine.index).cores <= 4.0
