--- a/petrelthread/admin/views.py
+++ b/petrelthread/admin/views.py
@@ -53,7 +53,7 @@
         "team": parts.cluster_state.names.teams.name(job.team),
         "shape": kind,
         "tasks": job.task_count,
-        "done": job.done_count,
+        "done": job.finished_count,
         "waiting": job.pending_count if job.final_status is None else 0,
         "age_s": round(time.time() - job.accepted_at, 1),
         "why": explain_waiting(parts, job, now),
@@ -177,7 +177,9 @@
             "guaranteed": team.cpus,
             "limit": team.cpus_max or None,
         }
-        for team, usage in zip(parts.view.teams, parts.view.team_usage(), strict=False)
+        for team, usage in zip(
+            parts.cluster_view.teams, parts.cluster_view.team_usage(), strict=False
+        )
     ]
 
 
--- a/petrelthread/peers/peer_monitor.py
+++ b/petrelthread/peers/peer_monitor.py
@@ -14,7 +14,7 @@
 from petrelthread.http import NoResponseError, Response, error_response, json_response
 from petrelthread.peers.peer_heartbeat import PEER_HEARTBEAT_PATH, PeerHeartbeat
 from petrelthread.settings import Sibling
-from petrelthread.store import Request
+from petrelthread.store import SendRequest
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
     def __init__(
         self,
         siblings: tuple[Sibling, ...],
-        request: Request,
+        request: SendRequest,
         own_heartbeat: Callable[[], PeerHeartbeat],
         on_heartbeat: Callable[[PeerHeartbeat], None],
         lend: Callable[[PeerHeartbeat], float] = _lend_nothing,
@@ -78,7 +78,7 @@
         self.last_received[heartbeat.node] = ReceivedHeartbeat(heartbeat, received_at)
         self._on_heartbeat(heartbeat)
 
-    def recent(self, within_s: float) -> list[PeerHeartbeat]:
+    def recent_heartbeats(self, within_s: float) -> list[PeerHeartbeat]:
         """Return the newest heartbeat of each sibling, if received within ``within_s`` seconds."""
         now = asyncio.get_running_loop().time()
         return [
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -10,7 +10,7 @@
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.settings import Sibling
-from petrelthread.store import Request
+from petrelthread.store import SendRequest
 from tests.virtual import play
 
 
@@ -18,7 +18,7 @@
     raise NoResponseError("refused", request_sent=False)
 
 
-def make_monitor(received: list[PeerHeartbeat], request: Request = refuse) -> PeerMonitor:
+def make_monitor(received: list[PeerHeartbeat], request: SendRequest = refuse) -> PeerMonitor:
     sibling = Sibling("n1", "n1:2", "a")
     return PeerMonitor((sibling,), request, lambda: PeerHeartbeat("n0", 3), received.append)
 
@@ -48,9 +48,9 @@
         assert response.status == 200
         assert orjson.loads(response.body)["epoch"] == 3
         assert [heartbeat.epoch for heartbeat in received] == [4]
-        assert [heartbeat.node for heartbeat in monitor.recent(3.0)] == ["n1"]
+        assert [heartbeat.node for heartbeat in monitor.recent_heartbeats(3.0)] == ["n1"]
         await asyncio.sleep(4.0)
-        assert not monitor.recent(3.0)
+        assert not monitor.recent_heartbeats(3.0)
 
     play(scenario())
 
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -48,7 +48,7 @@
         fleet: Fleet,
         validator: StartValidator,
         next_record_number: Callable[[], int],
-        spare_writes: Callable[[float], int],
+        writes_for_deletions: Callable[[float], int],
         obsolete_keys: Sequence[str],
     ) -> None:
         """Initialize the builder.
@@ -59,14 +59,15 @@
             fleet: finished tasks and failures of jobs.
             validator: validates the starts before they are claimed.
             next_record_number: draws an unused record number.
-            spare_writes: returns how many writes deletions may use, given an event loop time.
+            writes_for_deletions: returns how many writes deletions may use, given an event loop
+                time.
             obsolete_keys: keys of further settled records to delete; provisioning adds to it.
         """
         self._cluster_state = cluster_state
         self._fleet = fleet
         self._validator = validator
         self._next_record_number = next_record_number
-        self.spare_writes = spare_writes
+        self.writes_for_deletions = writes_for_deletions
         self._obsolete_keys = obsolete_keys
         self._max_value_bytes = int(limits.value_kb * BYTES_PER_KIB * VALUE_SIZE_SHARE)
         self._max_operations = limits.txn_ops
@@ -110,11 +111,11 @@
             # Another leader, or an abandoned claim of this one, may have recorded some of these
             # tasks. Counting a task twice would complete the job too soon.
             tasks = {task for task in reported if job.task_states[task] != TASK_FINISHED}
-            if not tasks and job.done_count < job.task_count:
+            if not tasks and job.finished_count < job.task_count:
                 del self._fleet.finished_tasks[job_index]
                 continue
             self._fleet.finished_tasks[job_index] = tasks
-            if job.done_count + len(tasks) >= job.task_count:
+            if job.finished_count + len(tasks) >= job.task_count:
                 finished.completed.append(job)
             else:
                 finished.tasks_by_job[job.id] = list(tasks)
@@ -123,7 +124,7 @@
     def _release_exited(self, job: Job) -> None:
         for attempt in list(job.live_attempts.values()):
             if attempt.has_exited:
-                self._cluster_state.release(attempt, done=True)
+                self._cluster_state.release(attempt, task_finished=True)
 
     # ---- starts and stops ---------------------------------------------------------------------
 
@@ -146,7 +147,7 @@
             claim.marker = claim.marker or key
         recorded = _started_tasks(packed[:max_records])
         claim.starts = [start for start in starts if (start.job.id, start.task) in recorded]
-        claim.has_more = postponed or len(claim.records) < len(packed)
+        claim.has_postponed = postponed or len(claim.records) < len(packed)
 
     def _require_unfinished(self, starts: list[Start], absent_keys: list[str]) -> list[Start]:
         """Make the claim conditional on each job being neither complete nor cancelled.
@@ -178,7 +179,7 @@
         available = max(0, self._max_operations - len(claim.operations))
         for job_id in list(suspects)[:available]:
             claim.suspects[job_id] = suspects[job_id]
-            claim.put(KeyKind.FAILING_JOB.key(job_id), suspects[job_id])
+            claim.put(KeyKind.SUSPECT_JOB.key(job_id), suspects[job_id])
 
     def _add_deletions(self, claim: RoundClaim, now: float) -> None:
         """Delete settled records as far as the write rate has spare capacity.
@@ -188,15 +189,16 @@
         cluster_state = self._cluster_state
         settled = [KeyKind.ROUND.key(number) for number in cluster_state.settled_rounds()]
         settled += [
-            KeyKind.FINISHED_TASKS.key(number) for number in cluster_state.obsolete_done_records()
+            KeyKind.FINISHED_TASKS.key(number)
+            for number in cluster_state.obsolete_finished_task_records()
         ]
         settled += self._obsolete_keys
         settled += [
-            KeyKind.FAILING_JOB.key(job_id)
+            KeyKind.SUSPECT_JOB.key(job_id)
             for job_id in self._fleet.job_failures.cleared_suspects()
         ]
         written = len(claim.operations)
-        available = min(self._max_operations - written, self.spare_writes(now) - written)
+        available = min(self._max_operations - written, self.writes_for_deletions(now) - written)
         claim.deleted_keys = settled[: max(0, available)]
         for key in claim.deleted_keys:
             claim.operations.append(protocol.DeleteOperation(KEY_PREFIX + key))
--- a/petrelthread/scheduling/cluster_view.py
+++ b/petrelthread/scheduling/cluster_view.py
@@ -91,22 +91,22 @@
         team = self.teams[job.team]
         max_parallel = float(job.task_count)
         if job.cores > 0:
-            max_parallel = min(max_parallel, team.most_cores // job.cores)
+            max_parallel = min(max_parallel, team.max_cores // job.cores)
         if job.accelerators > 0:
-            max_parallel = min(max_parallel, team.most_accelerators // job.accelerators)
+            max_parallel = min(max_parallel, team.max_accelerators // job.accelerators)
         return math.ceil(task_count / max(1.0, max_parallel))
 
-    def critical_path_s(self, job: Job) -> float:
+    def quota_limited_s(self, job: Job) -> float:
         """Lower bound of the remaining time if the job has its team's whole quota to itself."""
         run_s = self.estimates.run_s(job)
         team = self.teams[job.team]
         finished = len(self._fleet.finished_tasks.get(job.index, ()))
-        unfinished = job.task_count - job.done_count - finished
+        unfinished = job.task_count - job.finished_count - finished
         quota_share = 0.0
         if job.cores > 0:
-            quota_share = max(quota_share, unfinished * job.cores / team.most_cores)
+            quota_share = max(quota_share, unfinished * job.cores / team.max_cores)
         if job.accelerators > 0:
-            share = unfinished * job.accelerators / team.most_accelerators
+            share = unfinished * job.accelerators / team.max_accelerators
             quota_share = max(quota_share, share)
         return run_s * quota_share
 
@@ -135,7 +135,7 @@
             priority=job.priority,
             accepted_at=job.accepted_at,
             objective_times=(),
-            critical_path_s=0.0,
+            quota_limited_s=0.0,
             requested_cores=cores,
             requested_accelerators=job.task_count * job.accelerators,
             parallel_cores=cores,
@@ -143,7 +143,7 @@
         )
 
     def _batch_entry(self, job: Job) -> QueueEntry:
-        unfinished = job.task_count - job.done_count
+        unfinished = job.task_count - job.finished_count
         run_s = self.estimates.run_s(job)
         live = len(job.live_attempts)
         # A live task counts as half finished.
@@ -154,14 +154,14 @@
             job.priority,
             job.accepted_at,
             self._objectives.times(job),
-            self.critical_path_s(job),
+            self.quota_limited_s(job),
             job.task_count * job.cores,
             job.task_count * job.accelerators,
             run_s,
             self.estimates.tail_s(job),
-            min(unfinished * job.cores, self.teams[job.team].most_cores),
+            min(unfinished * job.cores, self.teams[job.team].max_cores),
             remaining_s * job.cores,
-            live > 0 or job.done_count > 0,
+            live > 0 or job.finished_count > 0,
         )
 
     def placement_request(self, job: Job) -> PlacementRequest:
