--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -16,7 +16,7 @@
 
 async def admin(simulation: Simulation, node: str, method: str, path: str, body: Any = None) -> Any:
     addr = f"{node}:2"
-    request = simulation.net.requester("operator")
+    request = simulation.network.requester("operator")
     reply: ClientResponse = await request(addr, method, f"/admin/v1/{path}", body, timeout=5.0)
     return reply.status, orjson.loads(reply.body)
 
@@ -37,7 +37,7 @@
         assert answer["leader"] == await simulation.wait_for_leader()
         assert answer["backlog"]["batch"]["jobs"] == 1
         assert sum(t["cores"] for t in answer["teams"]) == 12.0
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((m, n)) for m in simulation.cloud.machines for n in NODES
         }
         zone_texts: set[str] = set()
--- a/petrelthread/cli/main.py
+++ b/petrelthread/cli/main.py
@@ -129,9 +129,9 @@
 
 
 def _demo(_args: argparse.Namespace) -> int:
-    from petrelthread.emulator.demo import play_demo
+    from petrelthread.emulator.demo import run_demo
 
-    return play_demo()
+    return run_demo()
 
 
 def _bench_rounds(args: argparse.Namespace) -> int:
@@ -150,7 +150,7 @@
     from pathlib import Path
 
     from petrelthread.emulator.loopback_environment import LoopbackOptions
-    from petrelthread.emulator.soak import play_seeds
+    from petrelthread.emulator.soak import run_seeds
 
     options = LoopbackOptions(args.seconds, args.controllers, args.machines)
     if args.sources:
@@ -158,7 +158,7 @@
     if not (options.sources / "run.py").is_file():
         print(f"petrelthread: --sources: no run.py in {options.sources}", file=sys.stderr)
         return EXIT_BAD_ARGUMENT
-    return play_seeds(range(args.first_seed, args.first_seed + args.seeds), options)
+    return run_seeds(range(args.first_seed, args.first_seed + args.seeds), options)
 
 
 def _check(args: argparse.Namespace) -> int:
--- a/petrelthread/emulator/cloud.py
+++ b/petrelthread/emulator/cloud.py
@@ -34,11 +34,11 @@
         self._environment = environment
         deployment = environment.deployment
         self.machines: dict[str, RentedMachine] = {}
-        self.granted: dict[str, list[str]] = {}  # machine names by idempotency key
-        self.requests: dict[str, set[str]] = {}  # distinct request bodies by idempotency key
+        self.machines_by_key: dict[str, list[str]] = {}  # machine names by idempotency key
+        self.request_bodies_by_key: dict[str, set[str]] = {}  # distinct, by idempotency key
         self.capacity = {True: deployment.spot, False: deployment.on_demand}  # by spot flag
         self.used = {True: 0, False: 0}
-        self.rented = 0
+        self.rented_count = 0
         self.down = False
 
     async def handle(self, _source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
@@ -100,16 +100,16 @@
         if not 0 < body["count"] <= limit:
             return HTTPStatus.BAD_REQUEST, {"error": f"count must be 1 to {limit}"}
         key, spot = body["charter"], body["driftwood"]
-        self.requests.setdefault(key, set()).add(orjson.dumps(body).decode())
-        if key not in self.granted:
+        self.request_bodies_by_key.setdefault(key, set()).add(orjson.dumps(body).decode())
+        if key not in self.machines_by_key:
             free = self.capacity[spot] - self.used[spot]
             count = min(body["count"], free, self._free_in_zone(body["roost"]))
             if count <= 0:
                 return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no capacity"}
-            self.granted[key] = [
+            self.machines_by_key[key] = [
                 self._rent(body["hull"], body["roost"], spot) for _ in range(count)
             ]
-        return HTTPStatus.OK, {"perches": self.granted[key]}
+        return HTTPStatus.OK, {"perches": self.machines_by_key[key]}
 
     def _free_in_zone(self, zone: str) -> int:
         capacity = self._environment.deployment.zone_capacity
@@ -118,10 +118,10 @@
         return capacity - sum(m.description.zone == zone for m in self.machines.values())
 
     def _rent(self, machine_type: str, zone: str, spot: bool) -> str:
-        self.rented += 1
+        self.rented_count += 1
         self.used[spot] += 1
-        name = f"host-{self.rented:06d}"
-        address = self._environment.net.new_address(name)
+        name = f"host-{self.rented_count:06d}"
+        address = self._environment.network.new_address(name)
         description = MachineDescription(name, address, machine_type, zone, spot)
         worker = Worker(self._environment, description)
         now = asyncio.get_running_loop().time()
--- a/petrelthread/emulator/demo.py
+++ b/petrelthread/emulator/demo.py
@@ -82,7 +82,10 @@
             self._print(f"submitting {job_id}: {kind}")
         addresses = [environment.public_address(node) for node in environment.deployment.nodes]
         users = Users(
-            environment.checker, environment.net.requester("users"), addresses, environment.random
+            environment.checker,
+            environment.network.requester("users"),
+            addresses,
+            environment.random,
         )
         user_tasks = [asyncio.create_task(users.follow(job, self._started_at)) for job in JOBS]
         progress = asyncio.create_task(self._show_progress())
@@ -104,7 +107,8 @@
         done = sum(checker.statuses.get(job.job_id) == "done" for job in JOBS)
         lines = [
             f"{done} arrays done ({len(checker.completed_tasks)} tasks), 1 service cancelled,"
-            f" {checker.start_count} starts, {self._environment.cloud.rented} machines rented;"
+            f" {checker.start_count} starts,"
+            f" {self._environment.cloud.rented_count} machines rented;"
             f" {'no rule broke' if not checker.violations else 'RULES BROKEN:'}"
         ]
         return "\n".join(lines + [f"  {text}" for text in checker.violations])
@@ -188,7 +192,7 @@
         environment.close()
 
 
-def play_demo() -> int:
+def run_demo() -> int:
     """Run the demo.
 
     Returns the exit code: 0 if all jobs finished without violations, 1 if not, 130 if interrupted.
--- a/petrelthread/emulator/environment.py
+++ b/petrelthread/emulator/environment.py
@@ -138,7 +138,7 @@
         """The controllers and the capacity of the cloud."""
 
     @property
-    def net(self) -> Network:
+    def network(self) -> Network:
         """The network between all programs."""
 
     @property
--- a/petrelthread/emulator/injector.py
+++ b/petrelthread/emulator/injector.py
@@ -43,7 +43,7 @@
             FaultKind.LATE_COMMANDS: self._delay_messages("late_commands"),
             FaultKind.LATE_HEARTBEATS: self._delay_messages("late_heartbeats"),
             FaultKind.MACHINES_DIE: self._machines_die,
-            FaultKind.MACHINE_HANGS: self._set_worker_flag("frozen"),
+            FaultKind.MACHINE_HANGS: self._set_worker_flag("hanging"),
             FaultKind.MACHINE_FAULTY: self._set_worker_flag("faulty"),
             FaultKind.MACHINE_NOT_RECEIVING: self._partition_machine("not_receiving"),
             FaultKind.MACHINE_NOT_SENDING: self._partition_machine("not_sending"),
@@ -110,9 +110,9 @@
 
     async def _refuse_at_state(self, fault: Fault) -> None:
         name = self._target_controller(fault).name
-        self._environment.state_service.refused.add(name)
+        self._environment.state_service.refused_controllers.add(name)
         await asyncio.sleep(fault.lasts_s)
-        self._environment.state_service.refused.discard(name)
+        self._environment.state_service.refused_controllers.discard(name)
 
     async def _state_outage(self, fault: Fault) -> None:
         self._environment.state_service.set_outage(True)
--- a/petrelthread/emulator/loopback_environment.py
+++ b/petrelthread/emulator/loopback_environment.py
@@ -107,13 +107,13 @@
         self.boot_delay_s = 0.0
         self.run_s: dict[str, float] = {}
         self.faults = LinkFaults(self.random)
-        self.net = LoopbackNetwork(self.faults)
+        self.network = LoopbackNetwork(self.faults)
         self.checker = InvariantChecker(self)
         self.state_service = StateService(TXN_OPS, self.checker.record_put)
         self.cloud = Cloud(self)
         self.controllers: list[ControllerProcess] = []
-        self._public_addresses = {name: self.net.reserve_for_process(name) for name in names}
-        self._peer_addresses = {name: self.net.reserve_for_process(name) for name in names}
+        self._public_addresses = {name: self.network.reserve_for_process(name) for name in names}
+        self._peer_addresses = {name: self.network.reserve_for_process(name) for name in names}
         self._options = options
         self._directory = directory
         self._background_tasks = BackgroundTasks()
@@ -153,14 +153,14 @@
         for other in self.deployment.nodes:
             if other != name:
                 forward = forwarder(
-                    self.net.requester(name), self._peer_addresses[other], PEER_TIMEOUT_S
+                    self.network.requester(name), self._peer_addresses[other], PEER_TIMEOUT_S
                 )
-                siblings.append((other, await self.net.open_link(name, other, forward)))
+                siblings.append((other, await self.network.open_link(name, other, forward)))
         return Addresses(
             self._public_addresses[name],
             self._peer_addresses[name],
-            await self.net.open_link(name, STATE, self.state_service.handle),
-            await self.net.open_link(name, CLOUD, self.cloud.handle),
+            await self.network.open_link(name, STATE, self.state_service.handle),
+            await self.network.open_link(name, CLOUD, self.cloud.handle),
             tuple(siblings),
         )
 
@@ -187,4 +187,4 @@
         for name in list(self.cloud.machines):
             self.cloud.remove(name)
         self._background_tasks.cancel_all()
-        self.net.close()
+        self.network.close()
--- a/petrelthread/emulator/soak.py
+++ b/petrelthread/emulator/soak.py
@@ -90,7 +90,10 @@
         await environment.start()
         addresses = [environment.public_address(node) for node in environment.deployment.nodes]
         users = Users(
-            environment.checker, environment.net.requester("users"), addresses, environment.random
+            environment.checker,
+            environment.network.requester("users"),
+            addresses,
+            environment.random,
         )
         injector = FaultInjector(environment)
         started_at = loop.time()
@@ -191,7 +194,7 @@
     )
 
 
-def play_seeds(seeds: range, options: LoopbackOptions) -> int:
+def run_seeds(seeds: range, options: LoopbackOptions) -> int:
     """Run one seed after the other.
 
     Returns the exit code: 0 without violations, 1 with violations, 130 if interrupted.
--- a/petrelthread/emulator/state_service.py
+++ b/petrelthread/emulator/state_service.py
@@ -47,7 +47,7 @@
         self._on_put = on_put
         self.keys: Keys = {}
         self.puts: list[tuple[str, JsonValue]] = []
-        self.refused: set[str] = set()  # controllers that get 503, and no changes on open watches
+        self.refused_controllers: set[str] = set()  # get 503, and no changes on open watches
         self._revision = 1
         self._log: list[dict[str, Any]] = []  # all changes, as watches return them
         self._leases: dict[int, Lease] = {}
@@ -73,7 +73,7 @@
 
     async def handle(self, source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
         """Handle one request; ``source`` names the controller that sent it."""
-        if self._down or source in self.refused:
+        if self._down or source in self.refused_controllers:
             return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "down"}
         self._expire_leases()
         url = urlsplit(target)
@@ -118,7 +118,7 @@
                 if change["stamp"] > after
                 and str(change.get("put") or change.get("drop")).startswith(prefix)
             ]
-            unavailable = self._down or source in self.refused
+            unavailable = self._down or source in self.refused_controllers
             if not unavailable and (changes or self._now() >= ends_at):
                 return HTTPStatus.OK, {"epoch": self._revision, "log": changes}
             try:
--- a/petrelthread/emulator/worker.py
+++ b/petrelthread/emulator/worker.py
@@ -37,7 +37,7 @@
 class Worker:
     """Sends heartbeats, enforces its lease, and runs tasks for the duration the environment gives.
 
-    While ``frozen`` is set the worker hangs; while ``faulty`` is set every started task fails.
+    While ``hanging`` is set the worker hangs; while ``faulty`` is set every started task fails.
     """
 
     def __init__(self, environment: EmulatedEnvironment, machine: MachineDescription) -> None:
@@ -45,8 +45,8 @@
         self.machine = machine
         self.name = machine.name
         self.up = False
-        self.dead = False
-        self.frozen = False
+        self.terminated = False
+        self.hanging = False
         self.faulty = False
         self.incarnation = 1
         self.sequence_number = 0
@@ -59,8 +59,8 @@
 
     def kill(self) -> None:
         """Terminate the worker and its tasks together with the machine."""
-        self.dead = True
-        self._environment.net.detach(self.machine.address)
+        self.terminated = True
+        self._environment.network.detach(self.machine.address)
         self.main_task.cancel()
         for task in list(self.tasks):
             self._record_end(task)
@@ -104,9 +104,9 @@
 
     async def handle(self, _source: str, _method: str, target: str, body: Any) -> tuple[int, Any]:
         """Handle a direct command or a request for a heartbeat."""
-        while self.frozen:
+        while self.hanging:
             await asyncio.sleep(HANGING_POLL_S)
-        if self.dead:
+        if self.terminated:
             await asyncio.sleep(HANG_S)
         if target == protocol.COMMAND_PATH:
             if body["baton"] < self.fencing_token or body["flight"] != self.incarnation:
@@ -132,11 +132,11 @@
         await asyncio.sleep(boot_s + environment.boot_delay_s)
         self.up = True
         self.lease_renewed_at = self._now()
-        environment.net.attach(self.machine.address, self.name, self.handle)
+        environment.network.attach(self.machine.address, self.name, self.handle)
         environment.background(self._send_heartbeats())
-        while not self.dead:
+        while not self.terminated:
             await asyncio.sleep(environment.deployment.step_s)
-            if not self.frozen:
+            if not self.hanging:
                 self._advance_tasks()
 
     def _advance_tasks(self) -> None:
@@ -185,10 +185,10 @@
     # ---- heartbeats --------------------------------------------------------------------------
 
     async def _send_heartbeats(self) -> None:
-        request = self._environment.net.requester(self.name)
+        request = self._environment.network.requester(self.name)
         controllers = self._environment.deployment.nodes
-        while not self.dead:
-            if self.frozen:
+        while not self.terminated:
+            if self.hanging:
                 await asyncio.sleep(HANGING_POLL_S)
                 continue
             sent_at, incarnation = self._now(), self.incarnation
@@ -213,7 +213,7 @@
         if response.status == HTTPStatus.OK:
             token = content["baton"]
             is_current = token >= self.fencing_token and incarnation == self.incarnation
-            if is_current and not self.dead:
+            if is_current and not self.terminated:
                 self.fencing_token = token
                 self.lease_renewed_at = sent_at
                 self._execute(content["orders"])
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -151,7 +151,7 @@
                 return 429, {}
             return await handle(source, method, target, body)
 
-        simulation.net.hosts["state:1"] = rate_limited
+        simulation.network.hosts["state:1"] = rate_limited
         simulation.jobs["wk-000001"] = job("wk-000001", 2)
         submitted_at = asyncio.get_running_loop().time()
         status, _ = await simulation.ask("n0", "POST", "/v2/runs", simulation.jobs["wk-000001"])
--- a/petrelthread/leadership/test_election.py
+++ b/petrelthread/leadership/test_election.py
@@ -20,7 +20,7 @@
         assert election.is_leader
         assert election.may_answer_workers
         assert election.fence() is not None
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((name, other)) for other in ("state", *NODES) if other != name
         }
         partitioned_at = asyncio.get_running_loop().time()
@@ -86,7 +86,7 @@
         for other in NODES:
             if other != name:
                 simulation.crash(other)
-        simulation.net.delivery_rule = lambda source, address, method, target, body: (
+        simulation.network.delivery_rule = lambda source, address, method, target, body: (
             0.0,
             target.startswith("/watch"),
         )
@@ -95,7 +95,7 @@
         simulation.state_service.put("pt/lead", successor)
         await node.watch_cache.load()
         assert node.election.role is Role.FOLLOWER
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         simulation.state_service.drop("pt/lead")
         async with asyncio.timeout(20.0):
             assert await simulation.wait_for_leader() == name
--- a/petrelthread/provisioning/test_provisioner.py
+++ b/petrelthread/provisioning/test_provisioner.py
@@ -20,8 +20,8 @@
         await simulation.wait_until_running(4)
         first = await simulation.wait_for_leader()
         lost = next(iter(simulation.cloud.machines.values())).worker
-        simulation.net.partitions |= {frozenset((lost.name, n)) for n in NODES}
-        while not lost.dead:
+        simulation.network.partitions |= {frozenset((lost.name, n)) for n in NODES}
+        while not lost.terminated:
             await asyncio.sleep(0.5)
         await asyncio.sleep(3.0)
         recorded = [
@@ -48,17 +48,17 @@
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
         await simulation.wait_until_over(60.0)
         await asyncio.sleep(3.0)
-        rented = simulation.cloud.rented
+        rented = simulation.cloud.rented_count
         assert rented == len(simulation.cloud.machines) > 0
         for machine in simulation.cloud.machines.values():  # their next heartbeats are late
-            machine.worker.frozen = True
+            machine.worker.hanging = True
         simulation.crash(await simulation.wait_for_leader())
         await simulation.submit(job("wk-000002", 6, estimated_run_s=60.0))
         await simulation.wait_for_leader()
         await asyncio.sleep(2.5)
-        assert simulation.cloud.rented == rented
+        assert simulation.cloud.rented_count == rented
         for machine in simulation.cloud.machines.values():
-            machine.worker.frozen = False
+            machine.worker.hanging = False
         await simulation.wait_until_over(60.0)
 
     play(scenario())
--- a/petrelthread/provisioning/test_scale_in.py
+++ b/petrelthread/provisioning/test_scale_in.py
@@ -28,7 +28,7 @@
                 name_counts.append(len(body["perches"]))
             return await handle(source, method, target, body)
 
-        simulation.net.hosts["cloud:1"] = cloud
+        simulation.network.hosts["cloud:1"] = cloud
         now = asyncio.get_running_loop().time()
         machines = [node.fleet.get_or_add(f"host-{n:06d}", now) for n in range(330)]
         await node.provisioner.scale_in.execute_all(machines, now)
--- a/petrelthread/provisioning/test_scale_out.py
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -41,9 +41,9 @@
                 grants.append((body["roost"], len(response.get("perches", ()))))
             return status, response
 
-        simulation.net.hosts["cloud:1"] = cloud
+        simulation.network.hosts["cloud:1"] = cloud
         await simulation.submit(job("wk-000001", 2000, estimated_run_s=60.0))
-        while simulation.cloud.rented < 420:
+        while simulation.cloud.rented_count < 420:
             await asyncio.sleep(0.1)
         await asyncio.sleep(6.0)
 
--- a/tests/golden_data.py
+++ b/tests/golden_data.py
@@ -70,9 +70,9 @@
 
     def __init__(self, simulation: Simulation) -> None:
         self.exchanges: list[dict[str, Any]] = []
-        for address, handler in simulation.net.hosts.items():
+        for address, handler in simulation.network.hosts.items():
             self[address] = handler
-        simulation.net.hosts = self
+        simulation.network.hosts = self
 
     def __setitem__(self, address: str, handler: RequestHandler) -> None:
         async def recorded(source: str, method: str, target: str, body: Any) -> tuple[int, Any]:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -147,11 +147,11 @@
         self.failing_tasks: set[str] = set()  # tasks that fail on every machine
         self.jobs: dict[str, dict[str, Any]] = {}
         self.checker = InvariantChecker(self)
-        self.net = SimulatedNetwork(self)
+        self.network = SimulatedNetwork(self)
         self.state_service = StateService(cluster.state.txn_ops, self.checker.record_put)
         self.cloud = Cloud(self)
-        self.net.hosts["state:1"] = self.state_service.handle
-        self.net.hosts["cloud:1"] = self.cloud.handle
+        self.network.hosts["state:1"] = self.state_service.handle
+        self.network.hosts["cloud:1"] = self.cloud.handle
         self.nodes: dict[str, Controller] = {}
         self._controller_tasks: dict[str, asyncio.Task[None]] = {}
         self._background_tasks = BackgroundTasks()
@@ -177,7 +177,9 @@
     # ---- controllers -------------------------------------------------------------------------
 
     def boot(self, name: str) -> None:
-        node = Controller(self.deployment.settings_of(name), self.net.requester(name), self.random)
+        node = Controller(
+            self.deployment.settings_of(name), self.network.requester(name), self.random
+        )
         self.nodes[name] = node
         context = contextvars.copy_context()
         context.run(PROCESS.set, name)
@@ -192,13 +194,13 @@
             response = await node.handle_peer(method, target, orjson.dumps(body))
             return response.status, orjson.loads(response.body)
 
-        self.net.hosts[f"{name}:1"] = public
-        self.net.hosts[f"{name}:2"] = peer
+        self.network.hosts[f"{name}:1"] = public
+        self.network.hosts[f"{name}:2"] = peer
 
     def crash(self, name: str) -> None:
         self._controller_tasks.pop(name).cancel()
         self.nodes.pop(name)
-        del self.net.hosts[f"{name}:1"], self.net.hosts[f"{name}:2"]
+        del self.network.hosts[f"{name}:1"], self.network.hosts[f"{name}:2"]
 
     @property
     def loop(self) -> VirtualLoop:
@@ -224,11 +226,13 @@
     # ---- users ---------------------------------------------------------------------------------
 
     async def ask(self, node: str, method: str, target: str, body: Any = None) -> tuple[int, Any]:
-        response = await self.net.requester("user")(f"{node}:1", method, target, body, timeout=5.0)
+        response = await self.network.requester("user")(
+            f"{node}:1", method, target, body, timeout=5.0
+        )
         return response.status, orjson.loads(response.body)
 
     async def ask_admin(self, node: str, path: str) -> tuple[int, Any]:
-        request = self.net.requester("operator")
+        request = self.network.requester("operator")
         response = await request(f"{node}:2", "GET", f"/admin/v1/{path}", timeout=5.0)
         return response.status, orjson.loads(response.body)
 
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -41,9 +41,9 @@
             return 0.0, False
 
         if unread == "refused":
-            simulation.state_service.refused.add(leader)
+            simulation.state_service.refused_controllers.add(leader)
         else:
-            simulation.net.delivery_rule = delivery
+            simulation.network.delivery_rule = delivery
         # The open watch still returns one more change; the leader reads none after that.
         simulation.run_s_by_job["wk-000003"] = 1.0
         await simulation.submit(job("wk-000003", 1, team="guest"), nodes=other_controllers(leader))
@@ -58,10 +58,10 @@
             await asyncio.sleep(0.1)
         assert confirmed
         simulation.state_service.set_outage(True)
-        if simulation.net.delivery_rule is not None:
-            simulation.net.delivery_rule = None
+        if simulation.network.delivery_rule is not None:
+            simulation.network.delivery_rule = None
         await asyncio.sleep(12.0)
-        simulation.state_service.refused.clear()
+        simulation.state_service.refused_controllers.clear()
         for _ in range(60):
             await asyncio.sleep(1.0)
             simulation.checker.check_cancellations()
@@ -83,13 +83,13 @@
         await simulation.wait_until_running(4)
         leader = await simulation.wait_for_leader()
         unreachable = set(simulation.cloud.machines)
-        simulation.net.not_receiving |= unreachable  # so that the first stop commands are lost
+        simulation.network.not_receiving |= unreachable  # so that the first stop commands are lost
         assert await cancel_at(simulation, "wk-000001", list(NODES))
         await asyncio.sleep(0.5)
         simulation.state_service.set_outage(True)
         await asyncio.sleep(4.0)
         assert simulation.nodes[leader].election.role is Role.LEASE_GRACE
-        simulation.net.not_receiving -= unreachable
+        simulation.network.not_receiving -= unreachable
         await asyncio.sleep(4.0)
         assert not any(simulation.checker.machines_by_task.values())
         simulation.state_service.set_outage(False)
@@ -106,7 +106,7 @@
         for n in (1, 2):
             await simulation.submit(job(f"wk-{n:06d}", 2, estimated_run_s=5.0))
         await asyncio.sleep(1.0)
-        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
+        simulation.network.delivery_rule = lambda source, addr, method, target, body: (
             (0.0, source == leader and target.startswith("/watch"))
         )
         await asyncio.sleep(0.2)
@@ -115,7 +115,7 @@
         )  # makes the open watch return
         assert await cancel_at(simulation, "wk-000001", other_controllers(leader))
         await asyncio.sleep(8.0)  # longer than its machines take to boot
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         await simulation.wait_until_over(60.0)
         assert not [
             task_id for task_id in simulation.checker.started_at if task_id.startswith("wk-000001/")
@@ -128,20 +128,22 @@
     """Make machines partitioned, hanging or unable to receive; return their workers."""
     workers = [simulation.cloud.machines[name].worker for name in names]
     if fault == "cut":
-        simulation.net.partitions |= {frozenset((name, node)) for name in names for node in NODES}
+        simulation.network.partitions |= {
+            frozenset((name, node)) for name in names for node in NODES
+        }
     elif fault == "not receiving":
-        simulation.net.not_receiving |= names
+        simulation.network.not_receiving |= names
     else:
         for worker in workers:
-            worker.frozen = True
+            worker.hanging = True
     return workers
 
 
 def end_unreachability(simulation: Simulation, workers: list[Worker]) -> None:
     for worker in workers:
-        worker.frozen = False
-    simulation.net.not_receiving.clear()
-    simulation.net.partitions.clear()
+        worker.hanging = False
+    simulation.network.not_receiving.clear()
+    simulation.network.partitions.clear()
     simulation.checker.faults_ended_at = now()
 
 
@@ -151,9 +153,9 @@
     if change == "paused":
         await simulation.pause(leader, 8.0)
     elif change == "refused":
-        simulation.state_service.refused.add(leader)
+        simulation.state_service.refused_controllers.add(leader)
         await asyncio.sleep(8.0)
-        simulation.state_service.refused.clear()
+        simulation.state_service.refused_controllers.clear()
     else:
         simulation.crash(leader)
         await asyncio.sleep(0.1 if change == "quick" else 5.0)
@@ -218,9 +220,9 @@
         if change == "resigns":
             await simulation.nodes[leader].election.resign("a test asks for it", 15.0)
         elif change == "refused":
-            simulation.state_service.refused.add(leader)
+            simulation.state_service.refused_controllers.add(leader)
             await asyncio.sleep(6.0)
-            simulation.state_service.refused.clear()
+            simulation.state_service.refused_controllers.clear()
         else:
             for name in [leader] if change != "rolls" else [*other_controllers(leader), leader]:
                 simulation.crash(name)
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -22,8 +22,8 @@
                     recorded += sum(len(tasks) for _, _, jobs in op["v"] for _, tasks in jobs)
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
-        simulation.net.response_delay = lambda target: (
+        simulation.network.delivery_rule = delivery
+        simulation.network.response_delay = lambda target: (
             RESPONSE_DELAY_S if target == "/multi" else 0.0
         )
         for n in range(4):
--- a/tests/test_cloud_faults.py
+++ b/tests/test_cloud_faults.py
@@ -21,7 +21,7 @@
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 15.0
         await simulation.wait_for_leader()
-        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
+        simulation.network.delivery_rule = lambda source, addr, method, target, body: (
             (simulation.random.uniform(0.3, 0.9), simulation.random.random() < 0.1)
             if target == "/multi"
             else (0.0, False)
@@ -36,7 +36,7 @@
             simulation.crash(leader)
             await asyncio.sleep(simulation.random.choice([0.1, 1.5]))
             simulation.boot(leader)
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
         await simulation.wait_until_over(200.0)
 
@@ -63,7 +63,7 @@
                 return 0.0, True
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 4))
         await simulation.wait_until_over(60.0)
         assert lost == 2
@@ -71,7 +71,7 @@
     machine_types = tuple({**kind, "startup_s": startup_s} for kind in SMALL.machine_types)
     simulation = run(scenario, deployment=replace(SMALL, machine_types=machine_types))
     # 4 tasks of 2 cores need 2 machines of 4 cores; repeated requests rent none.
-    assert simulation.cloud.rented <= 3
+    assert simulation.cloud.rented_count <= 3
 
 
 def test_unanswered_scale_out_of_a_crashed_leader_rents_at_most_4_machines() -> None:
@@ -83,16 +83,16 @@
                 return 0.0, True
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 4))
-        while not simulation.cloud.rented:
+        while not simulation.cloud.rented_count:
             await asyncio.sleep(0.05)
         simulation.crash(first)
         await simulation.wait_until_over(60.0)
         simulation.boot(first)
 
     simulation = run(scenario)
-    assert simulation.cloud.rented <= 4
+    assert simulation.cloud.rented_count <= 4
 
 
 def test_machines_of_a_late_scale_out_are_used_or_returned() -> None:
@@ -106,7 +106,7 @@
                 return 45.0, False
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 4))
         await simulation.wait_until_over(60.0)
         await asyncio.sleep(60.0)
@@ -124,13 +124,13 @@
         node.scheduler.claim_builder.spare_writes = lambda now: 0  # so no record is deleted
         await simulation.submit(job("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
-        old = set(simulation.cloud.requests)
+        old = set(simulation.cloud.request_bodies_by_key)
         assert len(old) > 3
         await asyncio.sleep(25.0)
         simulation.cloud.capacity = {True: 6, False: 6}
         simulation.crash(node.settings.host_name)
         await asyncio.sleep(60.0)
-        assert not old & set(simulation.cloud.granted)
+        assert not old & set(simulation.cloud.machines_by_key)
         await simulation.wait_until_over(60.0)
 
     run(scenario)
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -38,9 +38,9 @@
 
 async def refuse(target: FaultTarget) -> None:
     """The state service refuses all requests of one controller."""
-    target.simulation.state_service.refused.add(target.node)
+    target.simulation.state_service.refused_controllers.add(target.node)
     await asyncio.sleep(target.for_s)
-    target.simulation.state_service.refused.discard(target.node)
+    target.simulation.state_service.refused_controllers.discard(target.node)
 
 
 async def outage(target: FaultTarget) -> None:
@@ -62,9 +62,9 @@
 
 async def _cut(target: FaultTarget, others: set[str]) -> None:
     cuts = {frozenset((target.node, other)) for other in others}
-    target.simulation.net.partitions |= cuts
+    target.simulation.network.partitions |= cuts
     await asyncio.sleep(target.for_s)
-    target.simulation.net.partitions -= cuts
+    target.simulation.network.partitions -= cuts
 
 
 async def late_duplicates(target: FaultTarget) -> None:
@@ -74,13 +74,13 @@
     attempt, from a new start (docs/questions.md, 10).
     """
     rng = target.rng
-    target.simulation.net.duplicate_rule = lambda source, addr, method, path: (
+    target.simulation.network.duplicate_rule = lambda source, addr, method, path: (
         rng.uniform(0.1, 30.0)
         if method == "POST" and path != "/do" and rng.random() < 0.2
         else None
     )
     await asyncio.sleep(target.for_s)
-    target.simulation.net.duplicate_rule = lambda *request: None
+    target.simulation.network.duplicate_rule = lambda *request: None
 
 
 async def late_boots(target: FaultTarget) -> None:
@@ -92,23 +92,23 @@
 
 async def receive_nothing(target: FaultTarget, worker: Worker) -> None:
     """A machine's heartbeats arrive, but nothing reaches it."""
-    target.simulation.net.not_receiving.add(worker.name)
+    target.simulation.network.not_receiving.add(worker.name)
     await asyncio.sleep(target.for_s)
-    target.simulation.net.not_receiving.discard(worker.name)
+    target.simulation.network.not_receiving.discard(worker.name)
 
 
 async def send_nothing(target: FaultTarget, worker: Worker) -> None:
     """Commands reach a machine, but its heartbeats reach no controller."""
-    target.simulation.net.not_sending.add(worker.name)
+    target.simulation.network.not_sending.add(worker.name)
     await asyncio.sleep(target.for_s)
-    target.simulation.net.not_sending.discard(worker.name)
+    target.simulation.network.not_sending.discard(worker.name)
 
 
 async def hang(target: FaultTarget, worker: Worker) -> None:
     """A machine hangs for a while."""
-    worker.frozen = True
+    worker.hanging = True
     await asyncio.sleep(target.for_s)
-    worker.frozen = False
+    worker.hanging = False
 
 
 async def fail_all_tasks(_target: FaultTarget, worker: Worker) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -123,14 +123,14 @@
         simulation.jobs["wk-000001"] = job("wk-000001", 6)  # uses the whole quota of the team
         simulation.jobs["wk-000002"] = job("wk-000002", 1)
         machine = machine_description(1, "a")
-        hanging = Worker(simulation, machine)
-        simulation.cloud.machines[machine.name] = RentedMachine(machine, 1e9, hanging)
-        hanging.main_task.cancel()  # the test controls it alone
-        hanging.up = hanging.frozen = True
-        hanging.lease_renewed_at = asyncio.get_running_loop().time()
+        worker = Worker(simulation, machine)
+        simulation.cloud.machines[machine.name] = RentedMachine(machine, 1e9, worker)
+        worker.main_task.cancel()  # the test controls it alone
+        worker.up = worker.hanging = True
+        worker.lease_renewed_at = asyncio.get_running_loop().time()
         for task in range(6):
             task_id = f"wk-000001/{task}"
-            hanging.tasks[task_id] = TaskRun(1, protocol.TaskState.RUNNING, 0.0)
+            worker.tasks[task_id] = TaskRun(1, protocol.TaskState.RUNNING, 0.0)
             start(simulation, task_id, 1, "a")
         await asyncio.sleep(simulation.workers.lease_s - 0.5)
         start(simulation, "wk-000002/0", 2, "a")
@@ -326,7 +326,7 @@
         simulation = Simulation()
         await simulation.submit(job("wk-000001", 2))
         simulation.checker.faults_ended_at = now()
-        simulation.net.partitions |= {frozenset(("user", n)) for n in NODES}
+        simulation.network.partitions |= {frozenset(("user", n)) for n in NODES}
         with pytest.raises(NoResponseError):
             await simulation.ask("n0", "GET", "/v2/runs/wk-000001")
         await asyncio.sleep(60.0)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -31,14 +31,14 @@
             is_lost = source == leader and target.startswith(("/watch", "/keys"))
             return (0.0, is_lost)
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         simulation.state_service.set_outage(False)
         assert await cancel_at(simulation, "wk-000001", other_controllers(leader))
         for _ in range(20):
             await asyncio.sleep(0.1)
             known = simulation.nodes[leader].cluster_state.jobs_by_id["wk-000001"].final_status
             assert known or not (election.is_leader and election.fence())
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         await simulation.wait_until_over(60.0)
 
     run(scenario)
@@ -89,11 +89,11 @@
         old = await simulation.wait_for_leader()
         others = {"state", "cloud", "user", *NODES} | set(simulation.cloud.machines)
         cuts = {frozenset((old, other)) for other in others if other != old}
-        simulation.net.partitions |= cuts
+        simulation.network.partitions |= cuts
         await asyncio.sleep(12.0)
         new = next(n for n in NODES if n != old and simulation.nodes[n].election.is_leader)
         assert simulation.nodes[new].election.epoch > simulation.nodes[old].election.epoch
-        simulation.net.partitions -= cuts
+        simulation.network.partitions -= cuts
         await asyncio.sleep(2.0)
         assert simulation.nodes[old].election.role is Role.FOLLOWER
         await simulation.wait_until_over(120.0)
@@ -106,13 +106,13 @@
         await simulation.submit(job("wk-000001", 10))
         await simulation.wait_until_running(2)
         old = await simulation.wait_for_leader()
-        simulation.state_service.refused.add(old)
+        simulation.state_service.refused_controllers.add(old)
         await asyncio.sleep(8.0)
         assert simulation.leader not in (None, old)
         status, _ = await simulation.ask(old, "GET", "/ready")
         assert status == 503
         await simulation.wait_until_over(60.0)
-        simulation.state_service.refused.clear()
+        simulation.state_service.refused_controllers.clear()
 
     run(scenario)
 
@@ -123,7 +123,9 @@
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
-        simulation.net.partitions |= {frozenset((old, name)) for name in simulation.cloud.machines}
+        simulation.network.partitions |= {
+            frozenset((old, name)) for name in simulation.cloud.machines
+        }
         await asyncio.sleep(12.0)
         assert simulation.leader not in (None, old)
         await simulation.wait_until_over(120.0)
@@ -157,14 +159,14 @@
         old = await simulation.wait_for_leader()
         since = now()
         others = {"state", "cloud", *NODES} - {old}
-        simulation.net.partitions |= {frozenset((old, other)) for other in others}
+        simulation.network.partitions |= {frozenset((old, other)) for other in others}
         # No other controller reaches the workers, and with cloud_too none can return machines.
         machines = set(simulation.cloud.machines)
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((m, n)) for m in machines for n in NODES if n != old
         }
         if cloud_too:
-            simulation.net.partitions |= {frozenset(("cloud", n)) for n in NODES}
+            simulation.network.partitions |= {frozenset(("cloud", n)) for n in NODES}
         await asyncio.sleep(1.2)
         before = now()
         status, _ = await simulation.ask(old, "GET", "/v2/runs/wk-000001")
@@ -181,7 +183,7 @@
             assert simulation.nodes[old].election.role is not Role.LEADING or now() < since + 4.0
             await asyncio.sleep(0.5)
         assert simulation.nodes[old].election.role is Role.FOLLOWER
-        simulation.net.partitions.clear()
+        simulation.network.partitions.clear()
         await simulation.wait_until_over(200.0)
 
     run(scenario)
@@ -197,7 +199,7 @@
         return rng.uniform(0.02, 6.0) if wanted and rng.random() < 0.6 else None
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.net.duplicate_rule = duplicate
+        simulation.network.duplicate_rule = duplicate
         for n in range(3):
             await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=20.0)
@@ -220,7 +222,7 @@
             if key == "pt/lead":
                 nonces.setdefault(value["epoch"], set()).add(value["nonce"])
         assert all(len(epoch_nonces) == 1 for epoch_nonces in nonces.values()), nonces
-        assert all(len(bodies) == 1 for bodies in simulation.cloud.requests.values())
+        assert all(len(bodies) == 1 for bodies in simulation.cloud.request_bodies_by_key.values())
         rounds: dict[str, set[str]] = {}
         for key, value in simulation.state_service.puts:
             if key.startswith("pt/r/"):
@@ -293,7 +295,7 @@
         lost_task_ids = [
             task_id for task_id in task_ids if simulation.worker_running(task_id) is lost_worker
         ]
-        simulation.net.partitions.update(
+        simulation.network.partitions.update(
             frozenset((lost_worker.name, node)) for node in simulation.nodes
         )
         simulation.crash(old)
@@ -328,10 +330,10 @@
         def delivery(source: str, addr: str, method: str, target: str, body: Any) -> Any:
             return None if target in ("/show", "/do") else (0.0, False)
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         simulation.crash(old)
         await asyncio.sleep(12.0)
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         simulation.boot(old)
         await simulation.wait_until_over(300.0)
 
--- a/tests/test_faulty_jobs_and_machines.py
+++ b/tests/test_faulty_jobs_and_machines.py
@@ -51,7 +51,7 @@
         healthy_jobs = [f"wk-{n:06d}" for n in range(3, 7)]
         await simulation.poll()
         assert {simulation.checker.statuses[j] for j in healthy_jobs} == {"done"}
-        assert simulation.cloud.rented <= 14  # none was returned as faulty
+        assert simulation.cloud.rented_count <= 14  # none was returned as faulty
         starts = simulation.checker.start_count
         await asyncio.sleep(60.0)
         assert simulation.checker.start_count - starts <= 6  # retried with growing backoff
@@ -75,7 +75,7 @@
         faulty_worker: Worker = next(m.worker for m in simulation.cloud.machines.values())
         faulty_worker.faulty = True
         await asyncio.sleep(25.0)
-        assert faulty_worker.dead  # recognised as faulty and returned
+        assert faulty_worker.terminated  # recognised as faulty and returned
         await asyncio.sleep(30.0)
         await simulation.poll()
         assert [simulation.checker.statuses[f"wk-{n:06d}"] for n in range(2, 5)] == ["done"] * 3
@@ -114,6 +114,6 @@
         faulty_worker.faulty = True
         await simulation.submit(job("wk-000002", 6, team="blue"))
         await simulation.wait_until_over(150.0)
-        assert faulty_worker.dead
+        assert faulty_worker.terminated
 
     run(scenario)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -135,7 +135,7 @@
         } - inside
         pairs = [(a, b) for a in inside for b in outside if not a[:5] == b[:5] == "host-"]
         partitioned_pairs = {frozenset(pair) for pair in pairs}
-        simulation.net.partitions |= partitioned_pairs
+        simulation.network.partitions |= partitioned_pairs
         await asyncio.sleep(5.0)
         await wait_until_settled(simulation, frozenset(inside))
         await asyncio.sleep(simulation.workers.lease_s + 5.0)
@@ -152,7 +152,7 @@
         path = f"/admin/v1/jobs/{waiting.id}"
         explanation = orjson.loads((await leader.handle_peer("GET", path, b"")).body)["why"]
         assert f"{waiting.pending_count} waiting" in explanation, explanation
-        simulation.net.partitions -= partitioned_pairs
+        simulation.network.partitions -= partitioned_pairs
         await asyncio.sleep(10.0)
 
     run(scenario, THREE_ZONES)
@@ -176,9 +176,9 @@
             *simulation.cloud.machines,
         } - {old}
         partitioned_pairs = {frozenset((old, other)) for other in others}
-        simulation.net.partitions |= partitioned_pairs
+        simulation.network.partitions |= partitioned_pairs
         await asyncio.sleep(simulation.workers.lease_s + 6.0)
-        simulation.net.partitions -= partitioned_pairs
+        simulation.network.partitions -= partitioned_pairs
         await wait_until_settled(simulation)
         assert simulation.leader is not None
         assert simulation.leader != old
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -79,7 +79,7 @@
             for name in list(simulation.nodes):
                 if name != asked:
                     simulation.crash(name)
-            simulation.net.partitions |= {frozenset((asked, "state"))}
+            simulation.network.partitions |= {frozenset((asked, "state"))}
             simulation.nodes[asked].election.on_key("lead", None, 10**6)
         response = await simulation.nodes[asked].handle(method, "/checkin", orjson.dumps(body))
         facts = response_facts(response)
@@ -207,7 +207,7 @@
         simulation = Simulation()
         leader = await simulation.wait_for_leader()
         lost_targets = ("/hosts", "/do")
-        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
+        simulation.network.delivery_rule = lambda source, addr, method, target, body: (
             0.0,
             target in lost_targets,
         )
@@ -215,14 +215,14 @@
         while not any(simulation.checker.machines_by_task.values()):
             await asyncio.sleep(0.5)
             await collect_status(simulation, leader)
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((m, n)) for m in simulation.cloud.machines for n in simulation.nodes
         }
         simulation.crash(leader)
         await asyncio.sleep(1.0)
         leader = await simulation.wait_for_leader()
         follower = next(name for name in simulation.nodes if name != leader)
-        simulation.net.partitions.add(frozenset((follower, "state")))
+        simulation.network.partitions.add(frozenset((follower, "state")))
         for _ in range(8):
             await asyncio.sleep(1.0)
             await collect_status(simulation, leader, follower)
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -28,18 +28,18 @@
                 kept.append((source, body))
             return 0.0, False
 
-        simulation.net.delivery_rule = keep
+        simulation.network.delivery_rule = keep
         for n in range(5):
             await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
             )
         task_ids = await simulation.wait_until_running(6)
         partitioned_worker = simulation.worker_running(task_ids[0])
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((partitioned_worker.name, node)) for node in NODES
         }  # until its lease expires
         await asyncio.sleep(11.0)
-        simulation.net.partitions.clear()
+        simulation.network.partitions.clear()
         for _ in range(3):
             leader = await simulation.wait_for_leader()
             simulation.crash(leader)
@@ -48,11 +48,11 @@
             old, kept[:] = simulation.random.sample(kept, min(len(kept), 30)), []
             for source, body in old:
                 for node in list(simulation.nodes):
-                    handler = simulation.net.hosts[f"{node}:1"]
+                    handler = simulation.network.hosts[f"{node}:1"]
                     await handler(source, "POST", "/checkin", body)
             simulation.boot(leader)
             await asyncio.sleep(simulation.random.uniform(1.0, 6.0))
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
         await simulation.wait_until_over(200.0)
 
@@ -68,7 +68,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 6.0
-        simulation.net.duplicate_rule = lambda source, addr, method, target: (
+        simulation.network.duplicate_rule = lambda source, addr, method, target: (
             late if target == "/checkin" and simulation.random.random() < 0.5 else None
         )
         for n in range(4):
@@ -76,7 +76,7 @@
             await simulation.submit(job(f"wk-{n:06d}", 6, team=team, estimated_run_s=20.0))
         task_ids = await simulation.wait_until_running(4)
         partitioned_worker = simulation.worker_running(task_ids[0])
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((partitioned_worker.name, n)) for n in NODES
         }  # its lease expires, or it is returned
         await asyncio.sleep(12.0)
@@ -110,7 +110,7 @@
                 return delay, False
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 6))
         await simulation.submit(job("wk-000002", 3, team="blue"))
         await simulation.wait_until_running(2)
@@ -136,7 +136,7 @@
                 return 0.0, count % 3 == 0
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 12))
         await simulation.wait_until_over(200.0)
 
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -35,7 +35,7 @@
         self.sent_at: list[float] = []
         self.others: DeliveryRule = lambda *request: (0.0, False)  # for all other requests
         self._delay_s = delay_s
-        simulation.net.delivery_rule = self._delivery
+        simulation.network.delivery_rule = self._delivery
 
     def _delivery(
         self, source: str, address: str, method: str, target: str, body: Any
@@ -112,9 +112,9 @@
     simulation: Simulation, delayed: DelayedStarts, leader: str
 ) -> None:
     """The machines' heartbeats arrive, but no response or command reaches them."""
-    simulation.net.not_receiving |= set(simulation.cloud.machines)
+    simulation.network.not_receiving |= set(simulation.cloud.machines)
     await asyncio.sleep(simulation.random.uniform(5.0, 40.0))
-    simulation.net.not_receiving.clear()
+    simulation.network.not_receiving.clear()
 
 
 async def writes_are_lost(simulation: Simulation, delayed: DelayedStarts, leader: str) -> None:
@@ -145,10 +145,10 @@
 
 async def refused_then_outage(simulation: Simulation, delayed: DelayedStarts, leader: str) -> None:
     """The state service refuses the leader alone, then is down for longer than ``cancel_s``."""
-    simulation.state_service.refused.add(leader)
+    simulation.state_service.refused_controllers.add(leader)
     await asyncio.sleep(simulation.random.uniform(0.5, 8.0))
     simulation.state_service.set_outage(True)
-    simulation.state_service.refused.clear()
+    simulation.state_service.refused_controllers.clear()
     await asyncio.sleep(simulation.workers.cancel_s + simulation.random.uniform(5.0, 20.0))
     simulation.state_service.set_outage(False)
 
@@ -177,9 +177,9 @@
 async def leader_is_deposed(simulation: Simulation, delayed: DelayedStarts, leader: str) -> None:
     """The leader is partitioned from the state service and its peers, but not from workers."""
     others = {"state", *NODES} - {leader}
-    simulation.net.partitions |= {frozenset((leader, other)) for other in others}
+    simulation.network.partitions |= {frozenset((leader, other)) for other in others}
     await asyncio.sleep(simulation.random.uniform(4.0, 45.0))
-    simulation.net.partitions.clear()
+    simulation.network.partitions.clear()
 
 
 async def leader_resigns(simulation: Simulation, delayed: DelayedStarts, leader: str) -> None:
@@ -308,7 +308,7 @@
                 return late_s, True
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         before = election.fencing_token
         assert await election.raise_fencing_token()
         assert lost
@@ -342,7 +342,7 @@
 
         await simulation.submit(job("wk-000002", 4, estimated_run_s=30.0))
         await simulation.wait_until_running(4)
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await simulation.submit(job("wk-000003", 2, estimated_run_s=30.0))
         while not refused:
             await asyncio.sleep(0.01)
@@ -402,7 +402,7 @@
             is_unanswered = source == leader and now() < raised_at + 2.0
             return 0.0, is_unanswered and target.startswith(("/multi", "/watch"))
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         before = election.fencing_token
         assert await election.raise_fencing_token()
         assert now() > raised_at + 1.5
--- a/tests/test_lost_transactions.py
+++ b/tests/test_lost_transactions.py
@@ -16,9 +16,11 @@
 def delay_or_lose_transactions(simulation: Simulation, fault: str) -> None:
     """Set the delivery rule if the fault concerns transactions."""
     if fault in ("lost", "late"):
-        simulation.net.delivery_rule = lose_transaction_responses(simulation, 0.3, fault == "late")
+        simulation.network.delivery_rule = lose_transaction_responses(
+            simulation, 0.3, fault == "late"
+        )
     elif fault == "slow":
-        simulation.net.delivery_rule = lambda source, addr, method, target, body: (
+        simulation.network.delivery_rule = lambda source, addr, method, target, body: (
             (simulation.random.uniform(0.0, 0.8), False) if addr == "state:1" else (0.0, False)
         )
 
@@ -75,7 +77,7 @@
             await asyncio.sleep(4.0)
             await restart_controllers(simulation, fault)
         await asyncio.gather(*users)
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
         await simulation.wait_until_over(150.0)
 
@@ -94,7 +96,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.spread_s = 6.0
-        simulation.net.delivery_rule = lose_transaction_responses(simulation, 0.35, late)
+        simulation.network.delivery_rule = lose_transaction_responses(simulation, 0.35, late)
         for n in range(6):
             await simulation.submit(
                 job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
@@ -109,7 +111,7 @@
                 simulation.boot(leader)
             await cancel_at(simulation, f"wk-{n:06d}", list(simulation.nodes)) if n % 2 else None
             await simulation.poll()
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
         await simulation.wait_until_over(200.0)
 
@@ -131,7 +133,7 @@
             is_round_claim = target == "/multi" and "pt/r/" in str(body["apply"])
             return (late_s, True) if is_round_claim and source == first else (0.0, False)
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await simulation.submit(job("wk-000001", 6, estimated_run_s=15.0))
         await asyncio.sleep(9.0)
         simulation.crash(first)
@@ -159,9 +161,9 @@
                 return 9.0, False
             return 0.0, False
 
-        simulation.net.delivery_rule = delivery
+        simulation.network.delivery_rule = delivery
         await asyncio.sleep(10.0)
-        simulation.net.delivery_rule = None
+        simulation.network.delivery_rule = None
         await simulation.wait_until_over(120.0)
 
     run(scenario)
@@ -206,7 +208,7 @@
     scale_out_keys = {
         key[len("pt/c/") :] for key, _ in simulation.state_service.puts if key.startswith("pt/c/")
     }
-    assert set(simulation.cloud.granted) <= scale_out_keys
+    assert set(simulation.cloud.machines_by_key) <= scale_out_keys
 
 
 def test_final_statuses_survive_a_restart_of_all_controllers() -> None:
--- a/tests/test_operator_views.py
+++ b/tests/test_operator_views.py
@@ -18,7 +18,7 @@
         await simulation.submit(job("wk-000001", 12, estimated_run_s=10.0))
         await simulation.wait_until_running(4)
         refused = next(name for name in simulation.nodes if name != simulation.leader)
-        simulation.state_service.refused.add(refused)
+        simulation.state_service.refused_controllers.add(refused)
         await asyncio.sleep(6.0)
         assert (await simulation.ask(refused, "GET", "/ready"))[0] == 503
         _, status = await simulation.ask_admin(refused, f"status?{DIRECT_QUERY}")
@@ -26,7 +26,7 @@
         assert (await simulation.ask(refused, "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
         other = next(name for name in simulation.nodes if name != refused)
         assert (await simulation.ask(other, "GET", "/v2/runs/wk-000001"))[0] == 200
-        simulation.state_service.refused.clear()
+        simulation.state_service.refused_controllers.clear()
         await asyncio.sleep(3.0)
         assert (await simulation.ask(refused, "GET", "/ready"))[0] == 200
         await simulation.wait_until_over(60.0)
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -32,7 +32,7 @@
         await asyncio.sleep(6.0)
         names = set(simulation.cloud.machines)
         workers = [m.worker for m in simulation.cloud.machines.values()]
-        simulation.net.not_sending |= names
+        simulation.network.not_sending |= names
         await asyncio.sleep(2.0)
         leader = await simulation.wait_for_leader()
         cuts = {
@@ -41,7 +41,7 @@
         if change == "crash":
             simulation.crash(leader)
         else:
-            simulation.net.partitions |= cuts
+            simulation.network.partitions |= cuts
         while not any(worker.incarnation > 1 for worker in workers):
             await asyncio.sleep(0.1)
         await asyncio.sleep(after_s)
@@ -54,8 +54,8 @@
             assert not simulation.checker.violations, simulation.checker.violations
         if change == "crash":
             simulation.boot(leader)
-        simulation.net.partitions.clear()
-        simulation.net.not_sending.clear()
+        simulation.network.partitions.clear()
+        simulation.network.not_sending.clear()
         simulation.checker.faults_ended_at = now()
         await simulation.wait_until_over(200.0)
 
@@ -82,10 +82,10 @@
         await simulation.wait_until_running(6)
         unreachable = next(iter(simulation.cloud.machines))
         worker: Worker = simulation.cloud.machines[unreachable].worker
-        simulation.net.not_receiving.add(unreachable)
+        simulation.network.not_receiving.add(unreachable)
         await asyncio.sleep(13.0)  # its lease has expired, and a heartbeat has shown it
         starts_before = recorded_start_count(simulation, unreachable)
-        while not worker.dead:
+        while not worker.terminated:
             await asyncio.sleep(0.5)
             assert now() < 160.0, "the machine was not returned"
         assert recorded_start_count(simulation, unreachable) <= starts_before + 2
@@ -101,12 +101,12 @@
         await simulation.wait_until_running(6)
         unreachable = next(iter(simulation.cloud.machines))
         worker: Worker = simulation.cloud.machines[unreachable].worker
-        simulation.net.not_receiving.add(unreachable)
+        simulation.network.not_receiving.add(unreachable)
         await asyncio.sleep(5.0)
-        simulation.net.not_receiving.clear()
+        simulation.network.not_receiving.clear()
         before = recorded_start_count(simulation, unreachable)
         await asyncio.sleep(25.0)
-        assert not worker.dead
+        assert not worker.terminated
         assert recorded_start_count(simulation, unreachable) > before + 4
         await simulation.wait_until_over(200.0)
 
@@ -122,10 +122,10 @@
         task_ids = await simulation.wait_until_running(6)
         worker = simulation.worker_running(task_ids[0])
         await asyncio.sleep(3.0)
-        simulation.net.not_receiving.add(worker.name)
+        simulation.network.not_receiving.add(worker.name)
         simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(30.0)
-        assert worker.dead
+        assert worker.terminated
         await simulation.wait_until_over(150.0)
 
     run(scenario)
@@ -139,7 +139,7 @@
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
         partitioned_worker = simulation.worker_running(task_ids[0])
-        simulation.net.partitions |= {frozenset((partitioned_worker.name, n)) for n in NODES}
+        simulation.network.partitions |= {frozenset((partitioned_worker.name, n)) for n in NODES}
         await simulation.submit(job("wk-000002", 2, team="blue"))
         await simulation.wait_until_over(120.0)
 
@@ -152,9 +152,9 @@
         await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
         worker = simulation.worker_running(task_ids[0])
-        worker.frozen = True
+        worker.hanging = True
         await asyncio.sleep(5.0)
-        worker.frozen = False
+        worker.hanging = False
         await simulation.wait_until_over(120.0)
 
     run(scenario)
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -22,7 +22,7 @@
         await simulation.submit(job("wk-000001", 12, estimated_run_s=20.0))
         await simulation.submit(job("wk-000002", 12, team="blue", estimated_run_s=20.0))
         await simulation.wait_until_running(8)
-        rented = simulation.cloud.rented
+        rented = simulation.cloud.rented_count
         old = await simulation.wait_for_leader()
         pausing = asyncio.ensure_future(simulation.pause(old, for_s))
         await asyncio.sleep(for_s / 2)
@@ -41,7 +41,7 @@
             _, job_view = await simulation.ask_admin(old, "jobs/wk-000002")
             assert job_view["status"] == "aborted"
         await simulation.wait_until_over(200.0)
-        assert simulation.cloud.rented <= rented + 6  # its machines were not all replaced
+        assert simulation.cloud.rented_count <= rented + 6  # its machines were not all replaced
 
     run(scenario)
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -113,10 +113,10 @@
 
 LOSSES: dict[str, Callable[[Simulation, Any, str], None]] = {
     "machine ends": lambda simulation, worker, task_id: worker.kill(),
-    "machine cut": lambda simulation, worker, task_id: simulation.net.partitions.update(
+    "machine cut": lambda simulation, worker, task_id: simulation.network.partitions.update(
         frozenset((worker.name, node)) for node in NODES
     ),
-    "machine hangs": lambda simulation, worker, task_id: setattr(worker, "frozen", True),
+    "machine hangs": lambda simulation, worker, task_id: setattr(worker, "hanging", True),
     "replica fails": lambda simulation, worker, task_id: worker.end_task(
         task_id, worker.tasks[task_id], "error"
     ),
@@ -286,9 +286,9 @@
         _, status = await simulation.ask_admin(leader, "status")
         assert status["backlog"]["batch"]["replicas"] == 4 == status["backlog"]["batch"]["serving"]
         lost = simulation.worker_running("wk-000001/0")
-        simulation.net.partitions |= {frozenset((lost.name, n)) for n in NODES}
+        simulation.network.partitions |= {frozenset((lost.name, n)) for n in NODES}
         # Without the cloud, the leader gets no confirmation that the machine is terminated.
-        simulation.net.partitions.add(frozenset((leader, "cloud")))
+        simulation.network.partitions.add(frozenset((leader, "cloud")))
         machine = node.fleet.find(lost.name)
         assert machine is not None
         while machine.health not in (Health.UNRESPONSIVE, Health.TERMINATING):
@@ -296,7 +296,7 @@
         explanation = explain_waiting(node, node.cluster_state.jobs_by_id["wk-000001"], now())
         assert f"may be on {lost.name}" in explanation, explanation
         assert "confirmed" in explanation, explanation
-        simulation.net.partitions.clear()
+        simulation.network.partitions.clear()
         await asyncio.sleep(15.0)
         await wait_for_all_replicas(simulation, 20.0)
         await cancel_services(simulation)
@@ -322,13 +322,13 @@
         }
         machines = {simulation.worker_running(task_id).name for task_id in started_at}
         leader = await simulation.wait_for_leader()
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((leader, name)) for name in simulation.cloud.machines
         }
         await asyncio.sleep(15.0)
         assert simulation.leader not in (None, leader)
         assert machines <= simulation.cloud.machines.keys()
-        simulation.net.partitions.clear()
+        simulation.network.partitions.clear()
         await wait_for_all_replicas(simulation, 20.0)
         await cancel_services(simulation)
 
