--- a/petrelthread/benchmark/populated.py
+++ b/petrelthread/benchmark/populated_leader.py
@@ -94,7 +94,7 @@
         )
         self.heartbeats = [self._add_machine(number, now) for number in range(machines)]
 
-    def accept(self, tasks: int, image: int) -> Job:
+    def add_pending_job(self, tasks: int, image: int) -> Job:
         """Add a job to the cluster state, as if it had been read from the state service."""
         self._job_count += 1
         spec = job_spec(
@@ -110,7 +110,7 @@
         self._stored[job.index] = encode(record)
         return job
 
-    def stored(self, job: Job) -> list[Any]:
+    def stored_record(self, job: Job) -> list[Any]:
         """Return the job's record as the state service stores it."""
         return self._stored[job.index]
 
@@ -136,7 +136,7 @@
         tasks = []
         for _ in range(int(CORES / TASK_CORES)):
             if not self._job_count or self.state.jobs[-1].pending_count == 0:
-                self.accept(self._tasks_per_job, self._random.randrange(IMAGES))
+                self.add_pending_job(self._tasks_per_job, self._random.randrange(IMAGES))
             job = self.state.jobs[-1]
             task = next(job.pending_tasks())
             attempt = epoch_base_number(EPOCH - 1) + 1 + number  # of the previous epoch, settled
--- a/petrelthread/benchmark/rounds.py
+++ b/petrelthread/benchmark/rounds.py
@@ -8,7 +8,12 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from petrelthread.benchmark.populated import EPOCH, IMAGES, TASKS_PER_WAITING_JOB, PopulatedLeader
+from petrelthread.benchmark.populated_leader import (
+    EPOCH,
+    IMAGES,
+    TASKS_PER_WAITING_JOB,
+    PopulatedLeader,
+)
 from petrelthread.state import (
     ClusterState,
     InternedNames,
@@ -70,7 +75,7 @@
 def _stored_keys(leader: PopulatedLeader) -> list[tuple[str, object]]:
     """Return the keys and values from which the leader's state is loaded: jobs and rounds."""
     state = leader.state
-    jobs = [(KeyKind.JOB.key(job.id), leader.stored(job)) for job in state.jobs]
+    jobs = [(KeyKind.JOB.key(job.id), leader.stored_record(job)) for job in state.jobs]
     entries = [
         Placement(state.names.machines.name(machine), 1, attempt.job.id, attempt.task)
         for machine, attempts in state.attempts_by_machine.items()
@@ -120,13 +125,13 @@
         _time_work("failure check", machines, failure_check, 30),
         _time_work("overdue heartbeats", machines, overdue_heartbeats, 30),
     ]
-    leader.accept(1, 0)
+    leader.add_pending_job(1, 0)
     controller.scheduler.decide(now)
     timings.append(_time_work("round, one task waits", machines, one_round, ROUNDS))
     timings.append(_time_work("provisioning plan", machines, plan, PLANS))
     stored = _stored_keys(leader)
     for number in range(machines // MACHINES_PER_WAITING_JOB):
-        leader.accept(TASKS_PER_WAITING_JOB, number % IMAGES)
+        leader.add_pending_job(TASKS_PER_WAITING_JOB, number % IMAGES)
     timings.append(_time_work("round, many tasks wait", machines, one_round, ROUNDS))
     timings.append(_time_work("plan, many tasks wait", machines, plan, PLANS))
     timings.append(_time_work("reload", machines, lambda: _reload(stored), RELOADS))
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -8,7 +8,7 @@
 import orjson
 
 from petrelthread import protocol
-from petrelthread.benchmark.populated import PopulatedLeader
+from petrelthread.benchmark.populated_leader import PopulatedLeader
 from petrelthread.emulator.state_service import StateService
 from petrelthread.http import ClientResponse
 from petrelthread.state import ClusterState, InternedNames, encode, epoch_base_number
@@ -26,7 +26,7 @@
         leader = PopulatedLeader(MACHINE_COUNT)
         node, state = leader.controller, leader.settings.cluster.state
         node.scheduler.round_budget_s = ROUND_BUDGET_S
-        job = leader.accept(MACHINE_COUNT, 0)
+        job = leader.add_pending_job(MACHINE_COUNT, 0)
         now = asyncio.get_running_loop().time()
         rounds = 0
         while job.pending_count:
@@ -76,7 +76,7 @@
             for attempt in attempts.values()
         }
         for job in leader.state.jobs:
-            store.put(f"{KEY_PREFIX}j/{job.id}", leader.stored(job))
+            store.put(f"{KEY_PREFIX}j/{job.id}", leader.stored_record(job))
         for n, (job_id, task, machine) in enumerate(sorted(recorded_attempts)):
             name = leader.state.names.machines.name(machine)
             store.put(
