--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -10,8 +10,8 @@
 
 from petrelthread.cli import main
 from petrelthread.http import ClientResponse
-from tests.simulation import NODES, Simulation, job
-from tests.virtual import play
+from tests.simulation import NODES, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 async def admin(simulation: Simulation, node: str, method: str, path: str, body: Any = None) -> Any:
@@ -24,7 +24,7 @@
 def test_views_explain_a_waiting_job_and_report_a_zone_down() -> None:
     async def scenario() -> None:
         simulation = Simulation()
-        await simulation.submit(job("wk-000001", 20, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 20, estimated_run_s=60.0))
         await asyncio.sleep(2.0)
         _, answer = await admin(simulation, "n1", "GET", "jobs/wk-000001")
         assert "booting" in answer["why"]
@@ -47,7 +47,7 @@
             zone_texts |= {z["says"] for z in answer["zones"]}
         assert any(says.startswith("DOWN") for says in zone_texts)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_settings_are_validated_versioned_and_applied_on_all_controllers() -> None:
@@ -77,7 +77,7 @@
         await asyncio.sleep(1.0)
         assert simulation.nodes["n2"].provisioning_options.spot_idle_s != 7.0
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_command_line_errors_go_to_stderr_and_set_the_exit_code(
--- a/petrelthread/fleet/test_command_dispatcher.py
+++ b/petrelthread/fleet/test_command_dispatcher.py
@@ -12,7 +12,7 @@
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.state import Attempt, OperationState, transition
 from tests.fleet_builder import EPOCH, JOB_ID, add_attempt, attempt_number, build_fleet, heartbeat
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 REACHABLE, UNREACHABLE = "host-1", "host-2"
 
@@ -97,7 +97,7 @@
         await asyncio.sleep(0.1)
         assert machines.requested[-1] == UNREACHABLE
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_waiting_start_already_sent_with_heartbeat_response_is_not_sent_again() -> None:
@@ -112,7 +112,7 @@
         await asyncio.sleep(5.0)
         assert machines.requested == [UNREACHABLE]
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 @pytest.mark.parametrize("deposed", [False, True], ids=["leader", "deposed"])
@@ -131,4 +131,4 @@
         assert machines.reachable.sequence_number == (-1 if deposed else 9)
         assert attempt.state is (OperationState.CONFIRMED if deposed else OperationState.SUPERSEDED)
 
-    play(main())
+    run_in_virtual_time(main())
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -10,8 +10,8 @@
 
 from petrelthread import protocol
 from petrelthread.state import JobRecord, encode
-from tests.simulation import Simulation, job
-from tests.virtual import play
+from tests.simulation import Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 async def simulation_with_leader() -> Simulation:
@@ -46,7 +46,7 @@
     ],
 )
 def test_job_with_an_invalid_or_missing_field_is_rejected(change: dict[str, Any]) -> None:
-    spec = {k: v for k, v in {**job("wk-000001", 2), **change}.items() if v is not ...}
+    spec = {k: v for k, v in {**job_spec("wk-000001", 2), **change}.items() if v is not ...}
     with pytest.raises(protocol.BadRequestError):
         protocol.parse_job(orjson.dumps(spec))
 
@@ -58,7 +58,7 @@
 
 
 def test_infinite_amount_is_rejected() -> None:
-    body = orjson.dumps(job("wk-000001", 2, cores=7.25)).replace(b"7.25", b"1e999")
+    body = orjson.dumps(job_spec("wk-000001", 2, cores=7.25)).replace(b"7.25", b"1e999")
     with pytest.raises(protocol.BadRequestError):
         protocol.parse_job(body)
 
@@ -79,11 +79,13 @@
 def test_job_that_can_never_run_gets_422_and_is_not_stored(change: dict[str, Any]) -> None:
     async def main() -> None:
         simulation = await simulation_with_leader()
-        status, _ = await simulation.ask("n0", "POST", "/v2/runs", job("wk-000009", 1, **change))
+        status, _ = await simulation.ask(
+            "n0", "POST", "/v2/runs", job_spec("wk-000009", 1, **change)
+        )
         assert status == 422
         assert (await simulation.ask("n1", "GET", "/v2/runs/wk-000009"))[0] == 404
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 @pytest.mark.parametrize(
@@ -102,23 +104,23 @@
         simulation = await simulation_with_leader()
         assert (await simulation.ask("n1", method, path))[0] == expected
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_repeated_submissions_create_one_job_and_are_not_checked_again() -> None:
     async def main() -> None:
         simulation = await simulation_with_leader()
-        spec = simulation.jobs["wk-000001"] = job("wk-000001", 1)
+        spec = simulation.jobs["wk-000001"] = job_spec("wk-000001", 1)
         responses = await asyncio.gather(
             *(simulation.ask(node, "POST", "/v2/runs", spec) for node in simulation.nodes)
         )
         assert sorted(status for status, _ in responses) == [200, 200, 201]
         status, _ = await simulation.ask(
-            "n0", "POST", "/v2/runs", job("wk-000001", 1, team="green")
+            "n0", "POST", "/v2/runs", job_spec("wk-000001", 1, team="green")
         )
         assert status == 200
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_requests_get_503_at_once_during_an_outage_of_the_state_service() -> None:
@@ -126,11 +128,11 @@
         simulation = await simulation_with_leader()
         simulation.state_service.set_outage(True)
         before = asyncio.get_running_loop().time()
-        assert (await simulation.ask("n2", "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
+        assert (await simulation.ask("n2", "POST", "/v2/runs", job_spec("wk-000002", 1)))[0] == 503
         assert (await simulation.ask("n2", "GET", "/v2/runs/wk-000003"))[0] == 503
         assert asyncio.get_running_loop().time() - before < 1.0
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 @pytest.mark.parametrize(("refusals", "expected"), [(2, 201), (9, 503)])
@@ -152,13 +154,13 @@
             return await handle(source, method, target, body)
 
         simulation.network.hosts["state:1"] = rate_limited
-        simulation.jobs["wk-000001"] = job("wk-000001", 2)
+        simulation.jobs["wk-000001"] = job_spec("wk-000001", 2)
         submitted_at = asyncio.get_running_loop().time()
         status, _ = await simulation.ask("n0", "POST", "/v2/runs", simulation.jobs["wk-000001"])
         assert status == expected
         assert asyncio.get_running_loop().time() - submitted_at < 1.0  # retries are limited
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_too_large_job_gets_400_unless_it_was_accepted_before() -> None:
@@ -167,7 +169,7 @@
     async def main() -> None:
         simulation = Simulation()
         await simulation.wait_for_leader()
-        large = job("wk-000001", 1, image="img-" + "x" * 5000)
+        large = job_spec("wk-000001", 1, image="img-" + "x" * 5000)
         status, response = await simulation.ask("n1", "POST", "/v2/runs", large)
         assert status == 400
         assert "too large" in response["error"]
@@ -178,4 +180,4 @@
             status, response = await simulation.ask(node, "POST", "/v2/runs", large)
             assert (status, response["name_id"]) == (200, "wk-000001")
 
-    play(main())
+    run_in_virtual_time(main())
--- a/petrelthread/leadership/test_claim_writer.py
+++ b/petrelthread/leadership/test_claim_writer.py
@@ -9,7 +9,7 @@
 from petrelthread.http import ClientResponse, NoResponseError
 from petrelthread.leadership import ClaimOutcome, ClaimWriter, Fence
 from petrelthread.store import Request, StateClient, TokenBucket
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 COMMITTED = ClientResponse(200, b'{"epoch":7}')
 VALUE_TOO_LARGE = ClientResponse(400, b'{"error":"value too large"}')
@@ -37,7 +37,7 @@
         assert small.outcome is ClaimOutcome.COMMITTED
         assert requested_keys == ["large", "small"]
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_an_unanswered_claim_is_fenced_rather_than_retried_in_a_later_epoch() -> None:
@@ -63,4 +63,4 @@
         assert result.outcome is ClaimOutcome.FENCED
         assert sent_revisions == [7]
 
-    play(main())
+    run_in_virtual_time(main())
--- a/petrelthread/leadership/test_election.py
+++ b/petrelthread/leadership/test_election.py
@@ -9,7 +9,7 @@
 from petrelthread.leadership import Role
 from petrelthread.state import IllegalTransitionError
 from tests.simulation import NODES, Simulation
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 
 def test_a_partitioned_leader_only_answers_workers_until_the_grace_period_ends() -> None:
@@ -35,7 +35,7 @@
         grace_s = simulation.nodes[name].settings.lease_grace_s
         assert grace_s - 2.0 < answered_s <= grace_s + 0.2
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_observing_a_newer_epoch_ends_the_leadership() -> None:
@@ -49,7 +49,7 @@
         assert election.role is Role.FOLLOWER
         assert not election.may_answer_workers
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_each_epoch_belongs_to_one_election_only() -> None:
@@ -69,7 +69,7 @@
         assert all(len(nonces) == 1 for nonces in nonces_by_epoch.values())
 
     for seed in range(5):
-        play(scenario(seed))
+        run_in_virtual_time(scenario(seed))
 
 
 def test_a_leader_deposed_during_a_reload_can_be_elected_again() -> None:
@@ -101,7 +101,7 @@
             assert await simulation.wait_for_leader() == name
         assert node.election.epoch > epoch + 1
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_an_undefined_role_transition_raises_an_error() -> None:
@@ -112,4 +112,4 @@
             election._transition(Role.LEADING, "not elected")
         assert election.role is Role.FOLLOWER
 
-    play(scenario())
+    run_in_virtual_time(scenario())
--- a/petrelthread/leadership/test_leadership_state.py
+++ b/petrelthread/leadership/test_leadership_state.py
@@ -11,7 +11,7 @@
 from petrelthread.leadership.leader_lease import LEASE_TTL_S, MAX_CLOCK_DRIFT, LeaderLease
 from petrelthread.leadership.leadership_state import LeadershipState
 from petrelthread.store import StateClient, TokenBucket, WatchCache
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 LEASE_GRACE_S = 10.0
 MARGIN_S = 0.001  # shorter than the allowance for clock drift
@@ -57,7 +57,7 @@
         assert state.may_answer_workers is may_answer_workers
         assert (state.fence() is not None) is may_write
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_leader_leads_until_its_lease_expiry_less_clock_drift() -> None:
@@ -70,7 +70,7 @@
         assert not state.may_start_tasks
         assert state.fence() is not None  # the state service checks the conditions
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_leader_whose_last_complete_read_is_stale_may_not_start_tasks() -> None:
@@ -79,7 +79,7 @@
         assert state.is_leader
         assert not state.may_start_tasks
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("older", ["renewal", "read"])
@@ -93,4 +93,4 @@
         await asyncio.sleep(2 * MARGIN_S)
         assert not state.may_answer_workers
 
-    play(scenario())
+    run_in_virtual_time(scenario())
--- a/petrelthread/peers/test_peer_monitor.py
+++ b/petrelthread/peers/test_peer_monitor.py
@@ -11,7 +11,7 @@
 from petrelthread.peers import PeerHeartbeat, PeerMonitor
 from petrelthread.settings import Sibling
 from petrelthread.store import Request
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 
 async def refuse(*_args: object, **_kwargs: object) -> ClientResponse:
@@ -31,7 +31,7 @@
 def test_malformed_heartbeats_get_400_and_are_not_recorded(body: bytes) -> None:
     received: list[PeerHeartbeat] = []
     monitor = make_monitor(received)
-    response = play(monitor.handle("POST", body))
+    response = run_in_virtual_time(monitor.handle("POST", body))
     assert response.status == 400
     assert b"error" in response.body
     assert not received
@@ -52,7 +52,7 @@
         await asyncio.sleep(4.0)
         assert not monitor.recent(3.0)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_heartbeats_continue_after_failed_and_malformed_responses() -> None:
@@ -74,5 +74,5 @@
         await asyncio.sleep(3.5)
         task.cancel()
 
-    play(scenario())
+    run_in_virtual_time(scenario())
     assert [heartbeat.epoch for heartbeat in received] == [9]
--- a/petrelthread/provisioning/test_cloud.py
+++ b/petrelthread/provisioning/test_cloud.py
@@ -12,7 +12,7 @@
 from petrelthread.http import ClientResponse
 from petrelthread.provisioning import CloudClient, CloudResultUnknownError
 from petrelthread.store import TokenBucket
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 PAGE = 500
 
@@ -80,5 +80,5 @@
 def test_available_budget_leaves_reserved_share_of_burst() -> None:
     budget = TokenBucket(8.0, 8.0)
     assert budget.available(0.0, 0.5) == 4
-    play(budget.acquire(5.0))
+    run_in_virtual_time(budget.acquire(5.0))
     assert budget.available(100.0, 0.5) == 0
--- a/petrelthread/provisioning/test_scale_in.py
+++ b/petrelthread/provisioning/test_scale_in.py
@@ -8,8 +8,8 @@
 from petrelthread import protocol
 from petrelthread.fleet import Health
 from petrelthread.provisioning import Plan
-from tests.simulation import Simulation, job
-from tests.virtual import play
+from tests.simulation import Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 def test_machines_beyond_limit_of_one_call_are_scaled_in_by_further_calls() -> None:
@@ -36,7 +36,7 @@
         assert max(name_counts) == protocol.MAX_MACHINES_PER_SCALE_IN
         assert sum(name_counts) == len(machines)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_machine_that_received_tasks_since_plan_is_not_selected() -> None:
@@ -45,7 +45,7 @@
     async def scenario() -> None:
         simulation = Simulation(1)
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 1, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 1, estimated_run_s=60.0))
         await simulation.wait_until_running(1)
         node = simulation.nodes[await simulation.wait_for_leader()]
         now = asyncio.get_running_loop().time()
@@ -56,4 +56,4 @@
         selected = node.provisioner.scale_in_selection.select(plan, now)
         assert not {m.index for m in busy} & {m.index for m in selected}
 
-    play(scenario())
+    run_in_virtual_time(scenario())
--- a/petrelthread/provisioning/test_scale_out.py
+++ b/petrelthread/provisioning/test_scale_out.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from petrelthread.provisioning import ScaleOutRequest, interleave
-from tests.simulation import SMALL, Simulation, job
-from tests.virtual import play
+from tests.simulation import SMALL, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 def test_first_call_to_each_offer_precedes_second_to_any() -> None:
@@ -42,12 +42,12 @@
             return status, response
 
         simulation.network.hosts["cloud:1"] = cloud
-        await simulation.submit(job("wk-000001", 2000, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 2000, estimated_run_s=60.0))
         while simulation.cloud.rented_count < 420:
             await asyncio.sleep(0.1)
         await asyncio.sleep(6.0)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
     # Two zones share the same 420 machines: nine calls get some, at most two of the next get none.
     first_short = next(at for at, (_, count) in enumerate(grants) if count < 50)
     refused = [zone for zone, count in grants[first_short : first_short + 4] if count == 0]
--- a/petrelthread/scheduling/test_bin_packing.py
+++ b/petrelthread/scheduling/test_bin_packing.py
@@ -12,15 +12,15 @@
     place_requests,
 )
 from petrelthread.scheduling.occupancy import JobOccupancy
-from tests.placement_model import model, random_case, task_placements
+from tests.placement_model import random_placement_case, reference_placement, task_placements
 
 
 @pytest.mark.parametrize("block", range(10))
 def test_placement_equals_that_of_reference_model(block: int) -> None:
     cases_with_placements = 0
     for seed in range(block * 200, block * 200 + 200):
-        expected = model(*random_case(seed))
-        requests, machines, quotas = random_case(seed)
+        expected = reference_placement(*random_placement_case(seed))
+        requests, machines, quotas = random_placement_case(seed)
         result = place_requests(requests, CapacityIndex(machines), quotas)
         assert result.resume_position == 0
         assert sorted(task_placements(result)) == sorted(expected), f"seed {seed}"
@@ -30,7 +30,7 @@
 
 def test_round_out_of_time_resumes_at_first_unexamined_request() -> None:
     for seed in range(200):
-        requests, machines, quotas = random_case(seed)
+        requests, machines, quotas = random_placement_case(seed)
         requests = [request for request in requests if not request.spread_zones]
         if len(requests) < 2:
             continue
--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -14,8 +14,8 @@
 from petrelthread.scheduling.start_validator import Start
 from petrelthread.state import RECORDS_PER_EPOCH, epoch_base_number
 from tests.scheduling_cluster import EPOCH, Cluster, cluster_test, now
-from tests.simulation import job
-from tests.virtual import play
+from tests.simulation import job_spec
+from tests.virtual_time import run_in_virtual_time
 
 JOB = "wk-000001"
 
@@ -24,7 +24,7 @@
     async def main() -> None:
         await scenario(Cluster())
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def heartbeat_of(machine: str, zone: str, running: list[str]) -> protocol.WorkerHeartbeat:
@@ -58,11 +58,11 @@
     cluster: Cluster,
 ) -> None:
     """The committed record must not replace the attempt that the heartbeat lists."""
-    cluster.machine(1, "a")
-    other = cluster.machine(2, "b", taken_cores=4.0)
-    accepted = cluster.accept(job(JOB, 2, cores=1.0))
+    cluster.add_machine(1, "a")
+    other = cluster.add_machine(2, "b", taken_cores=4.0)
+    accepted = cluster.accept(job_spec(JOB, 2, cores=1.0))
     heartbeat = heartbeat_of(other.name, "b", [f"{JOB}/0"])
-    cluster.claims.meanwhile = lambda: receive(cluster, heartbeat)
+    cluster.claim_writer.during_claim = lambda: receive(cluster, heartbeat)
     await cluster.scheduler.run_round(now())
     assert launched(cluster) == [(1, "host-000001")]
     assert accepted.live_attempts[0].machine == other.index
@@ -72,11 +72,11 @@
 async def test_single_zone_start_is_not_sent_if_heartbeat_lists_task_in_other_zone(
     cluster: Cluster,
 ) -> None:
-    cluster.machine(1, "a")
-    other = cluster.machine(2, "b", taken_cores=4.0)
-    cluster.accept(job(JOB, 3, cores=1.0, single_zone=True))
+    cluster.add_machine(1, "a")
+    other = cluster.add_machine(2, "b", taken_cores=4.0)
+    cluster.accept(job_spec(JOB, 3, cores=1.0, single_zone=True))
     heartbeat = heartbeat_of(other.name, "b", [f"{JOB}/0"])
-    cluster.claims.meanwhile = lambda: receive(cluster, heartbeat)
+    cluster.claim_writer.during_claim = lambda: receive(cluster, heartbeat)
     await cluster.scheduler.run_round(now())
     assert launched(cluster) == []
 
@@ -85,16 +85,16 @@
 async def test_start_is_not_sent_if_machine_is_unresponsive_or_job_is_cancelled(
     cluster: Cluster,
 ) -> None:
-    unresponsive = cluster.machine(1, "a")
-    cluster.machine(2, "b")
-    cluster.accept(job(JOB, 8, cores=1.0))
-    cluster.accept(job("wk-000002", 1, cores=0.5, ram_gb=0.5, team="guest"))
+    unresponsive = cluster.add_machine(1, "a")
+    cluster.add_machine(2, "b")
+    cluster.accept(job_spec(JOB, 8, cores=1.0))
+    cluster.accept(job_spec("wk-000002", 1, cores=0.5, ram_gb=0.5, team="guest"))
 
     def during_claim() -> None:
         unresponsive.transition(Health.UNRESPONSIVE)
         cluster.cluster_state.set_final_status("wk-000002", protocol.JobStatus.CANCELLED)
 
-    cluster.claims.meanwhile = during_claim
+    cluster.claim_writer.during_claim = during_claim
     await cluster.scheduler.run_round(now())
     assert {machine for _, machine in launched(cluster)} == {"host-000002"}
     assert all(a.job.id == JOB for a in cluster.dispatcher.launched)
@@ -102,9 +102,9 @@
 
 
 def gang_starts(cluster: Cluster, job_id: str, machines: range) -> list[Start]:
-    spec = job(job_id, len(machines), kind="group", team="guest")
+    spec = job_spec(job_id, len(machines), kind="group", team="guest")
     accepted = cluster.accept(spec)
-    return [Start(accepted, n, cluster.machine(m, "a")) for n, m in enumerate(machines)]
+    return [Start(accepted, n, cluster.add_machine(m, "a")) for n, m in enumerate(machines)]
 
 
 @pytest.mark.parametrize("jobs_completed", [False, True], ids=["starts alone", "completed jobs"])
@@ -113,12 +113,12 @@
     """The size limits of a transaction must not split a gang over two claims."""
     if jobs_completed:  # completed jobs leave fewer operations for the records
         for number in range(6):
-            completed = cluster.accept(job(f"wk-5{number:05d}", 1))
+            completed = cluster.accept(job_spec(f"wk-5{number:05d}", 1))
             cluster.fleet.finished_tasks[completed.index] = {0}
-    cluster.builder._max_value_bytes = 250  # a gang needs several records of this size
+    cluster.claim_builder._max_value_bytes = 250  # a gang needs several records of this size
     first = gang_starts(cluster, "wk-000001", range(1, 10))
     second = gang_starts(cluster, "wk-000002", range(11, 60))
-    claim = cluster.builder.build(first + second, [], now())
+    claim = cluster.claim_builder.build(first + second, [], now())
     recorded: dict[str, int] = {}
     for start in claim.starts:
         recorded[start.job.id] = recorded.get(start.job.id, 0) + 1
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -19,9 +19,9 @@
 from petrelthread.scheduling.free_capacity import FreeCapacity
 from petrelthread.scheduling.occupancy import JobOccupancy
 from petrelthread.state import Attempt
-from tests.placement_model import model, random_case, task_placements
+from tests.placement_model import random_placement_case, reference_placement, task_placements
 from tests.scheduling_cluster import ZONES, Cluster, cluster_test, now
-from tests.simulation import job
+from tests.simulation import job_spec
 
 
 class CapacitySnapshot(NamedTuple):
@@ -55,7 +55,7 @@
     usable: dict[int, CapacitySnapshot] = {}
     surplus: dict[int, CapacitySnapshot] = {}
     for machine in cluster.fleet.machines.values():
-        machine_type = cluster.types.get(machine.machine_type)
+        machine_type = cluster.machine_types.get(machine.machine_type)
         if machine_type is None or not cluster.fleet.is_schedulable(machine):
             continue
         live = [a for a in cluster.fleet.attempts_on(machine).values() if not a.has_exited]
@@ -82,7 +82,7 @@
         self.cluster = cluster
         self.random = random.Random(seed)
         self.jobs = [
-            cluster.accept(job(f"wk-{n:06d}", 400, cores=0.5, image=f"img-{n}", team="guest"))
+            cluster.accept(job_spec(f"wk-{n:06d}", 400, cores=0.5, image=f"img-{n}", team="guest"))
             for n in range(6)
         ]
         self.attempts: list[Attempt] = []
@@ -104,7 +104,7 @@
     def scale_out(self) -> None:
         if self.machine_count < 40:
             self.machine_count += 1
-            machine = self.cluster.machine(self.machine_count, self.random.choice(ZONES))
+            machine = self.cluster.add_machine(self.machine_count, self.random.choice(ZONES))
             machine.spot = self.random.random() < 0.5
 
     def start_attempt(self) -> None:
@@ -171,7 +171,7 @@
 @cluster_test
 def test_refresh_equals_recomputation_after_random_changes(cluster: Cluster, seed: int) -> None:
     changes = RandomChanges(cluster, seed)
-    free = FreeCapacity(cluster.cluster_state, cluster.fleet, lambda: cluster.types)
+    free = FreeCapacity(cluster.cluster_state, cluster.fleet, lambda: cluster.machine_types)
     compared = 0
     for step in range(2000):
         changes.change()
@@ -179,7 +179,7 @@
             free.refresh()
             usable, surplus = recomputed_capacity(cluster)
             assert free.cores() == sum(
-                cluster.types[m.machine_type].cores
+                cluster.machine_types[m.machine_type].cores
                 for m in cluster.fleet.machines.values()
                 if m.accepts_work or m.health is Health.BOOTING
             )
@@ -192,9 +192,9 @@
 
 @pytest.mark.parametrize("seed", range(100))
 def test_rolled_back_gang_does_not_change_later_placements(seed: int) -> None:
-    """Placement after the rollback of a gang that can't be placed equals the model's."""
-    requests, machines, quotas = random_case(seed)
-    expected = model(*random_case(seed))
+    """Placement after the rollback of a gang that can't be placed equals the reference's."""
+    requests, machines, quotas = random_placement_case(seed)
+    expected = reference_placement(*random_placement_case(seed))
     index = CapacityIndex(machines)
     gang = requests[0]._replace(
         all_or_nothing=True, pending=10_000, occupancy=JobOccupancy(), spread_zones=False
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -6,7 +6,7 @@
 from petrelthread.scheduling.job_order import MAX_START_DELAY_S
 from petrelthread.state import OperationState, transition
 from tests.scheduling_cluster import Cluster, cluster_test, now
-from tests.simulation import job
+from tests.simulation import job_spec
 
 OVERDUE_S = MAX_START_DELAY_S + 27.0
 
@@ -14,9 +14,9 @@
 @cluster_test
 def test_requests_of_overdue_single_zone_job_choose_same_zone(cluster: Cluster) -> None:
     """The two requests of an overdue job have to choose the same zone (incident wk-840897)."""
-    cluster.machine(1, "a", taken_cores=2.0)  # one task fits: enough for the first request
-    cluster.machine(2, "b")  # two tasks fit: more than in zone a
-    cluster.accept(job("wk-000001", 3, single_zone=True), waited_s=OVERDUE_S)
+    cluster.add_machine(1, "a", taken_cores=2.0)  # one task fits: enough for the first request
+    cluster.add_machine(2, "b")  # two tasks fit: more than in zone a
+    cluster.accept(job_spec("wk-000001", 3, single_zone=True), waited_s=OVERDUE_S)
     zones = cluster.zones_of_starts("wk-000001")
     assert zones
     assert len(set(zones)) == 1, zones
@@ -24,11 +24,11 @@
 
 @cluster_test
 def test_overdue_spread_job_starts_at_most_half_its_tasks_per_zone(cluster: Cluster) -> None:
-    cluster.machine(1, "a")
-    cluster.machine(2, "a")
+    cluster.add_machine(1, "a")
+    cluster.add_machine(2, "a")
     for tasks in (3, 4, 5):
         job_id = f"wk-00000{tasks}"
-        spec = job(job_id, tasks, spread_zones=True, cores=0.5, ram_gb=0.5)
+        spec = job_spec(job_id, tasks, spread_zones=True, cores=0.5, ram_gb=0.5)
         cluster.accept(spec, waited_s=OVERDUE_S)
         assert len(cluster.zones_of_starts(job_id)) == (tasks + 1) // 2, tasks
 
@@ -36,13 +36,13 @@
 @cluster_test
 def test_overdue_job_preempts_for_all_its_missing_tasks(cluster: Cluster) -> None:
     """An overdue job makes two requests, and each start counts for only one of them."""
-    cluster.machine(1, "a")  # one task fits
+    cluster.add_machine(1, "a")  # one task fits
     for number in (2, 3):
-        machine = cluster.machine(number, "a", taken_cores=4.0)
+        machine = cluster.add_machine(number, "a", taken_cores=4.0)
         for attempt in cluster.fleet.attempts_on(machine).values():
             attempt.job.priority = protocol.PRIORITIES["low"]
             transition(attempt, OperationState.CONFIRMED)
-    spec = job("wk-000001", 3, cores=4.0, ram_gb=1.0, priority="high")
+    spec = job_spec("wk-000001", 3, cores=4.0, ram_gb=1.0, priority="high")
     cluster.accept(spec, waited_s=OVERDUE_S)
     decision = cluster.scheduler.decide(now())
     assert [start.job.id for start in decision.starts] == ["wk-000001"]
@@ -52,8 +52,8 @@
 @cluster_test
 def test_finished_task_that_is_not_recorded_is_not_started_again(cluster: Cluster) -> None:
     """The job counts a finished task as pending until it is recorded as finished."""
-    cluster.machine(1, "a")
-    accepted = cluster.accept(job("wk-000001", 3, cores=1.0))
+    cluster.add_machine(1, "a")
+    accepted = cluster.accept(job_spec("wk-000001", 3, cores=1.0))
     cluster.fleet.finished_tasks[accepted.index] = {0, 2}
     starts = cluster.scheduler.decide(now()).starts
     assert [start.task for start in starts] == [1]
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -10,7 +10,7 @@
 from petrelthread.scheduling.start_validator import Start, Violation
 from petrelthread.state import Job, encode
 from tests.scheduling_cluster import EPOCH, Cluster, cluster_test
-from tests.simulation import job
+from tests.simulation import job_spec
 
 pytestmark = pytest.mark.refused_starts_expected
 A, B = "a", "b"
@@ -21,13 +21,13 @@
 
     def __init__(self, cluster: Cluster, **spec: Any) -> None:
         self.cluster = cluster
-        self.machines = {A: cluster.machine(1, A), B: cluster.machine(2, B)}
-        self.job: Job = cluster.accept(job("wk-000001", 4, cores=1.0, **spec))
+        self.machines = {A: cluster.add_machine(1, A), B: cluster.add_machine(2, B)}
+        self.job: Job = cluster.accept(job_spec("wk-000001", 4, cores=1.0, **spec))
 
     def refused(self, *starts: tuple[int, str]) -> list[tuple[int, Violation]]:
         """The violations found in starts, each given as task and zone of the machine."""
         decided = [Start(self.job, task, self.machines[zone]) for task, zone in starts]
-        _, refused = self.cluster.check.admit(decided)
+        _, refused = self.cluster.start_validator.admit(decided)
         return [(start.task, violation) for start, violation in refused]
 
     def add_live_attempt(self, task: int, machine: Machine) -> None:
@@ -96,7 +96,7 @@
 def test_start_beyond_team_quota_is_refused(cluster: Cluster) -> None:
     case = Case(cluster)
     quota = int(cluster.settings.cluster.teams[0].most_cores)
-    other = cluster.accept(job("wk-000002", 1, cores=quota - 2.0))
+    other = cluster.accept(job_spec("wk-000002", 1, cores=quota - 2.0))
     cluster.cluster_state.add_attempt(1, other, 0, case.machines[A].index, 1)
     assert case.refused((0, A), (1, A), (2, B)) == [(2, Violation.TEAM_QUOTA)]
 
@@ -136,7 +136,7 @@
 ) -> None:
     case = Case(cluster, single_zone=True)
     decided = [Start(case.job, 0, case.machines[A]), Start(case.job, 1, case.machines[B])]
-    claim = cluster.builder.build(decided, [], 0.0)
+    claim = cluster.claim_builder.build(decided, [], 0.0)
     assert [encode(record) for _, record in claim.records] == [
         [["host-000001", 1, [["wk-000001", [0]]]]]
     ]
--- a/petrelthread/state/conftest.py
+++ b/petrelthread/state/conftest.py
@@ -9,14 +9,14 @@
 
 from petrelthread.protocol import parse_job
 from petrelthread.state import ClusterState, InternedNames, JobRecord
-from tests.simulation import job
+from tests.simulation import job_spec
 
 ClusterStateMaker = Callable[[dict[str, int]], ClusterState]
 
 
 def record_of(job_id: str, task_count: int) -> JobRecord:
     """The record of an array job with this id and number of tasks."""
-    return JobRecord.from_spec(parse_job(orjson.dumps(job(job_id, task_count))), 5.0)
+    return JobRecord.from_spec(parse_job(orjson.dumps(job_spec(job_id, task_count))), 5.0)
 
 
 @pytest.fixture
--- a/petrelthread/store/test_client.py
+++ b/petrelthread/store/test_client.py
@@ -15,7 +15,7 @@
     TokenBucket,
     TransactionConflictError,
 )
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 
 def client_receiving(outcome: ClientResponse | NoResponseError) -> StateClient:
@@ -59,13 +59,15 @@
     outcome: ClientResponse | NoResponseError, error: type[StateServiceError]
 ) -> None:
     with pytest.raises(error):
-        play(client_receiving(outcome).transact([], [protocol.PutOperation("pt/a", 1)]))
+        run_in_virtual_time(
+            client_receiving(outcome).transact([], [protocol.PutOperation("pt/a", 1)])
+        )
 
 
 def test_lease_calls_distinguish_expiry_outage_and_unknown_result() -> None:
     with pytest.raises(LeaseExpiredError):
-        play(client_receiving(ClientResponse(404, b"{}")).renew_lease(7, 1.0))
+        run_in_virtual_time(client_receiving(ClientResponse(404, b"{}")).renew_lease(7, 1.0))
     with pytest.raises(StateUnavailableError):
-        play(client_receiving(ClientResponse(503, b"{}")).renew_lease(7, 1.0))
+        run_in_virtual_time(client_receiving(ClientResponse(503, b"{}")).renew_lease(7, 1.0))
     with pytest.raises(StateResultUnknownError):
-        play(client_receiving(ClientResponse(200, b"[]")).grant_lease(3.0))
+        run_in_virtual_time(client_receiving(ClientResponse(200, b"[]")).grant_lease(3.0))
--- a/petrelthread/store/test_token_bucket.py
+++ b/petrelthread/store/test_token_bucket.py
@@ -7,7 +7,7 @@
 import pytest
 
 from petrelthread.store import TokenBucket
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 
 def test_requests_beyond_the_burst_wait_in_order() -> None:
@@ -22,7 +22,7 @@
         assert waited == pytest.approx([0.0, 0.0, 0.1, 0.2])
         assert bucket.total_acquired == 4.0
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_an_amount_above_the_burst_is_granted_and_delays_the_next() -> None:
@@ -34,7 +34,7 @@
         assert loop.time() - started_at == pytest.approx(0.5)
         assert bucket.wait_time_s(loop.time()) == pytest.approx(0.1)
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_refill_before_a_rate_change_uses_the_old_rate() -> None:
@@ -46,7 +46,7 @@
         bucket.set_rate(100.0, loop.time())
         assert bucket.available(loop.time(), reserved_share=0.0) == 2
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_available_leaves_the_reserved_share() -> None:
@@ -71,4 +71,4 @@
         bucket.refund(taken)
         assert bucket.is_full(now)
 
-    play(main())
+    run_in_virtual_time(main())
--- a/petrelthread/store/test_write_rates.py
+++ b/petrelthread/store/test_write_rates.py
@@ -7,7 +7,7 @@
 from petrelthread import protocol
 from petrelthread.http import ClientResponse
 from petrelthread.store import StateClient, StateRateLimitedError, TokenBucket, WriteRates
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 
 @pytest.mark.parametrize("controllers", [1, 2, 5])
@@ -31,5 +31,5 @@
 
     client = StateClient(refused, "state:1", TokenBucket(100.0, 100.0), TokenBucket(100.0, 100.0))
     with pytest.raises(StateRateLimitedError):
-        play(client.transact([], operations))
+        run_in_virtual_time(client.transact([], operations))
     assert client.write_rate_limited is shows
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tests.simulation import MACHINE_TYPES, SETTINGS, Deployment, Simulation, job
+from tests.simulation import MACHINE_TYPES, SETTINGS, Deployment, Simulation, job_spec
 
 MACHINE_COUNT = 970
 TEAM_COUNT = 16
@@ -86,6 +86,6 @@
             self.count += 1
             team, image = f"team-{self.count % TEAM_COUNT:02d}", f"img-{self.count % 6}"
             description = {"team": team, "image": image, "estimated_run_s": 20.0} | attributes
-            spec = job(f"wk-{self.count:06d}", task_count, **description)
+            spec = job_spec(f"wk-{self.count:06d}", task_count, **description)
             await self.simulation.submit(spec)
             self.accepted_at[spec["name_id"]] = asyncio.get_running_loop().time()
--- a/tests/fleet_builder.py
+++ b/tests/fleet_builder.py
@@ -17,7 +17,7 @@
     OperationState,
     epoch_base_number,
 )
-from tests.simulation import job
+from tests.simulation import job_spec
 
 LEASE_S = 10.0
 HEARTBEAT_INTERVAL_S = 1.0
@@ -33,7 +33,7 @@
 ) -> Fleet:
     """A leader's fleet without machines, with one accepted job."""
     cluster_state = ClusterState(InternedNames(["red"], ["a"]))
-    spec = msgspec.convert(job(JOB_ID, task_count), protocol.JobSpec)
+    spec = msgspec.convert(job_spec(JOB_ID, task_count), protocol.JobSpec)
     cluster_state.add_job(JOB_ID, JobRecord.from_spec(spec, 0.0))
     fleet = Fleet(cluster_state, LEASE_S, HEARTBEAT_INTERVAL_S, LEASE_GRACE_S, callbacks)
     fleet.fail_over(EPOCH, elected_at)
--- a/tests/placement_model.py
+++ b/tests/placement_model.py
@@ -25,7 +25,7 @@
     quotas: list[QuotaHeadroom]
 
 
-def random_case(seed: int) -> RandomCase:
+def random_placement_case(seed: int) -> RandomCase:
     """A small case that depends on the seed alone."""
     rng = random.Random(seed)
     machines = [
@@ -80,7 +80,7 @@
     return [(placed.job_index, machine) for placed in result.placed for machine in placed.machines]
 
 
-def model(
+def reference_placement(
     requests: list[PlacementRequest], machines: list[MachineCapacity], quotas: list[QuotaHeadroom]
 ) -> list[tuple[int, int]]:
     """Place tasks one by one, comparing all machines. Returns the job and machine index of each."""
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -9,12 +9,12 @@
 from petrelthread.http import NoResponseError
 from tests.simulated_network import DeliveryRule
 from tests.simulation import NODES, SMALL, Deployment, Simulation
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 Scenario = Callable[[Simulation], Awaitable[None]]
 
 
-def run(scenario: Scenario, seed: int = 1, deployment: Deployment = SMALL) -> Simulation:
+def run_scenario(scenario: Scenario, seed: int = 1, deployment: Deployment = SMALL) -> Simulation:
     """Run a scenario, then 80 s without faults; fail if any invariant is violated."""
 
     async def main() -> Simulation:
@@ -25,7 +25,7 @@
         assert simulation.checker.start_count > 0
         return simulation
 
-    result: Simulation = play(main())
+    result: Simulation = run_in_virtual_time(main())
     return result
 
 
@@ -50,7 +50,7 @@
     return rule
 
 
-async def cancel_at(simulation: Simulation, job_id: str, nodes: list[str]) -> bool:
+async def try_to_cancel_at(simulation: Simulation, job_id: str, nodes: list[str]) -> bool:
     """Try to cancel once on each of these nodes in turn, until one confirms. Whether one did."""
     for node in nodes:
         if await simulation.try_to_cancel(job_id, node) == "aborted":
@@ -58,7 +58,7 @@
     return False
 
 
-async def query_all_controllers(simulation: Simulation, job_id: str) -> None:
+async def query_and_resubmit_on_all_controllers(simulation: Simulation, job_id: str) -> None:
     """Query the job and repeat its submission on all controllers, all at the same moment."""
 
     async def call(node: str, method: str, path: str, body: Any) -> None:
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -27,8 +27,8 @@
     JobRecord,
     epoch_base_number,
 )
-from tests.simulation import MACHINE_TYPES, SETTINGS, job
-from tests.virtual import play
+from tests.simulation import MACHINE_TYPES, SETTINGS, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 Params = ParamSpec("Params")
 
@@ -38,15 +38,15 @@
 
 
 class ScriptedClaimWriter:
-    """Commits every claim; calls ``meanwhile`` while the claim is in flight."""
+    """Commits every claim; calls ``during_claim`` while the claim is in flight."""
 
     def __init__(self) -> None:
-        self.meanwhile: Callable[[], None] = lambda: None
+        self.during_claim: Callable[[], None] = lambda: None
 
     async def claim(
         self, ops: list[protocol.Operation], marker: str | None = None, absent: tuple[str, ...] = ()
     ) -> tuple[ClaimOutcome, tuple[str, ...]]:
-        self.meanwhile()
+        self.during_claim()
         return ClaimOutcome.COMMITTED, ()
 
 
@@ -64,7 +64,7 @@
     """The leader's state with a real scheduler, and with stand-ins for what sends requests."""
 
     def __init__(self) -> None:
-        self.claims = ScriptedClaimWriter()
+        self.claim_writer = ScriptedClaimWriter()
         self.dispatcher = RecordingDispatcher()
         text = SETTINGS.format(name="n0", siblings="").replace('["a", "b"]', '["a", "b", "c"]')
         self.settings: Settings = parse(text)
@@ -75,9 +75,13 @@
         )
         self.fleet.epoch = EPOCH
         small = msgspec.convert(MACHINE_TYPES[0], protocol.MachineType)
-        self.types = {self.names.machine_types.index(small.name): small}
+        self.machine_types = {self.names.machine_types.index(small.name): small}
         view = ClusterView(
-            self.settings, self.cluster_state, self.fleet, lambda: self.types, RunTimeEstimates()
+            self.settings,
+            self.cluster_state,
+            self.fleet,
+            lambda: self.machine_types,
+            RunTimeEstimates(),
         )
 
         async def refresh() -> bool:
@@ -87,31 +91,33 @@
             self.settings,
             self.cluster_state,
             self.fleet,
-            cast(ClaimWriter, self.claims),
+            cast(ClaimWriter, self.claim_writer),
             cast(CommandDispatcher, self.dispatcher),
             view,
             refresh,
             lambda now: 0,
         )
         self.scheduler.fail_over(EPOCH)
-        self.check = StartValidator(self.cluster_state, self.fleet, self.settings.cluster.teams)
-        self.builder = ClaimBuilder(
+        self.start_validator = StartValidator(
+            self.cluster_state, self.fleet, self.settings.cluster.teams
+        )
+        self.claim_builder = ClaimBuilder(
             self.settings.cluster.state,
             self.cluster_state,
             self.fleet,
-            self.check,
+            self.start_validator,
             self.scheduler.next_record_number,
             lambda now: 0,
             [],
         )
 
-    def machine(self, number: int, zone: str, taken_cores: float = 0.0) -> Machine:
+    def add_machine(self, number: int, zone: str, taken_cores: float = 0.0) -> Machine:
         """Add a machine of 4 cores that is up; another job's task uses ``taken_cores`` of them."""
         machine = self.fleet.get_or_add(f"host-{number:06d}", now())
         machine.machine_type, machine.zone, machine.spot = 0, self.names.zones.index(zone), True
         machine.incarnation, machine.acknowledged_epoch, machine.health = 1, EPOCH, Health.UP
         if taken_cores:
-            other = self.accept(job(f"wk-9{number:05d}", 1, cores=taken_cores, team="guest"))
+            other = self.accept(job_spec(f"wk-9{number:05d}", 1, cores=taken_cores, team="guest"))
             self.cluster_state.add_attempt(epoch_base_number(EPOCH) - 1, other, 0, machine.index, 1)
         return machine
 
@@ -143,7 +149,7 @@
             if awaitable is not None:
                 await awaitable
 
-        play(main())
+        run_in_virtual_time(main())
 
     signature = inspect.signature(scenario)
     pytest_parameters = list(signature.parameters.values())[1:]
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -22,11 +22,11 @@
 from petrelthread.emulator.invariant_checker import InvariantChecker
 from petrelthread.emulator.state_service import StateService
 from petrelthread.emulator.worker import Worker
-from petrelthread.emulator.workload import job_spec
+from petrelthread.emulator.workload import job_spec as job_spec
 from petrelthread.http import NoResponseError
 from petrelthread.settings import Settings, parse
 from tests.simulated_network import SimulatedNetwork
-from tests.virtual import PROCESS, VirtualLoop
+from tests.virtual_time import PROCESS, VirtualLoop
 
 SETTINGS = """
 host_name = "{name}"
@@ -127,9 +127,6 @@
     return SMALL.settings_of(name)
 
 
-job = job_spec
-
-
 class Simulation:
     """The controllers, workers, cloud, state service and invariant checker of one scenario."""
 
@@ -141,7 +138,7 @@
         self.random = random.Random(seed)
         self.run_s = 5.0
         self.run_s_by_job: dict[str, float] = {}  # by job id; others run for run_s
-        self.spread_s = 0.0  # range of run times within a job
+        self.run_time_spread_s = 0.0  # range of run times within a job
         self.boot_delay_s = 0.0  # extra boot time of machines rented from now on
         self.failing_jobs: set[str] = set()  # jobs whose tasks fail on every machine
         self.failing_tasks: set[str] = set()  # tasks that fail on every machine
@@ -171,7 +168,7 @@
         job_id, _, task = task_id.rpartition("/")
         if self.jobs[job_id]["shape"] == "service":
             return math.inf
-        extra_s = int(task) * 0.37 % 1.0 * self.spread_s
+        extra_s = int(task) * 0.37 % 1.0 * self.run_time_spread_s
         return self.run_s_by_job.get(job_id, self.run_s) + extra_s
 
     # ---- controllers -------------------------------------------------------------------------
@@ -285,7 +282,7 @@
         self.checker.check_answers()
         self.checker.check_waiting_jobs()
 
-    async def wait_until_over(self, within_s: float) -> None:
+    async def wait_until_jobs_final(self, within_s: float) -> None:
         """Query every job on every controller until all jobs have a final status."""
         end = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < end:
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -9,8 +9,14 @@
 
 from petrelthread.emulator.worker import Worker
 from petrelthread.leadership import Role
-from tests.scenario import cancel_at, now, other_controllers, query_all_controllers, run
-from tests.simulation import NODES, Simulation, job
+from tests.scenario import (
+    now,
+    other_controllers,
+    query_and_resubmit_on_all_controllers,
+    run_scenario,
+    try_to_cancel_at,
+)
+from tests.simulation import NODES, Simulation, job_spec
 
 
 @pytest.mark.parametrize("unread", ["refused", "watch lost", "watch slow"])
@@ -30,7 +36,7 @@
         simulation.run_s = 200.0
         for n in (1, 2):
             await simulation.submit(
-                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=200.0)
+                job_spec(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=200.0)
             )
         await simulation.wait_until_running(8)
         leader = await simulation.wait_for_leader()
@@ -46,12 +52,14 @@
             simulation.network.delivery_rule = delivery
         # The open watch still returns one more change; the leader reads none after that.
         simulation.run_s_by_job["wk-000003"] = 1.0
-        await simulation.submit(job("wk-000003", 1, team="guest"), nodes=other_controllers(leader))
+        await simulation.submit(
+            job_spec("wk-000003", 1, team="guest"), nodes=other_controllers(leader)
+        )
         await asyncio.sleep(0.1)
         confirmed = 0
         until = now() + before_s
         while now() < until:
-            if not confirmed and await cancel_at(
+            if not confirmed and await try_to_cancel_at(
                 simulation, "wk-000001", other_controllers(leader)
             ):
                 confirmed += 1
@@ -68,10 +76,10 @@
             assert not simulation.checker.violations, simulation.checker.violations
         simulation.state_service.set_outage(False)
         await asyncio.sleep(5.0)
-        await cancel_at(simulation, "wk-000002", list(NODES))
-        await simulation.wait_until_over(60.0)
+        await try_to_cancel_at(simulation, "wk-000002", list(NODES))
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 def test_controller_in_lease_grace_stops_cancelled_tasks() -> None:
@@ -79,12 +87,12 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 100.0
-        await simulation.submit(job("wk-000001", 4, estimated_run_s=100.0))
+        await simulation.submit(job_spec("wk-000001", 4, estimated_run_s=100.0))
         await simulation.wait_until_running(4)
         leader = await simulation.wait_for_leader()
         unreachable = set(simulation.cloud.machines)
         simulation.network.not_receiving |= unreachable  # so that the first stop commands are lost
-        assert await cancel_at(simulation, "wk-000001", list(NODES))
+        assert await try_to_cancel_at(simulation, "wk-000001", list(NODES))
         await asyncio.sleep(0.5)
         simulation.state_service.set_outage(True)
         await asyncio.sleep(4.0)
@@ -93,9 +101,9 @@
         await asyncio.sleep(4.0)
         assert not any(simulation.checker.machines_by_task.values())
         simulation.state_service.set_outage(False)
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_leader_that_has_not_read_a_cancellation_starts_no_task_of_the_job() -> None:
@@ -104,24 +112,24 @@
     async def scenario(simulation: Simulation) -> None:
         leader = await simulation.wait_for_leader()
         for n in (1, 2):
-            await simulation.submit(job(f"wk-{n:06d}", 2, estimated_run_s=5.0))
+            await simulation.submit(job_spec(f"wk-{n:06d}", 2, estimated_run_s=5.0))
         await asyncio.sleep(1.0)
         simulation.network.delivery_rule = lambda source, addr, method, target, body: (
             (0.0, source == leader and target.startswith("/watch"))
         )
         await asyncio.sleep(0.2)
         await simulation.submit(
-            job("wk-000003", 1), nodes=other_controllers(leader)
+            job_spec("wk-000003", 1), nodes=other_controllers(leader)
         )  # makes the open watch return
-        assert await cancel_at(simulation, "wk-000001", other_controllers(leader))
+        assert await try_to_cancel_at(simulation, "wk-000001", other_controllers(leader))
         await asyncio.sleep(8.0)  # longer than its machines take to boot
         simulation.network.delivery_rule = None
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
         assert not [
             task_id for task_id in simulation.checker.started_at if task_id.startswith("wk-000001/")
         ]
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def make_unreachable(simulation: Simulation, fault: str, names: set[str]) -> list[Worker]:
@@ -173,7 +181,7 @@
         simulation.run_s = 60.0
         for n in range(6):
             await simulation.submit(
-                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=60.0)
+                job_spec(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=60.0)
             )
         task_ids = await simulation.wait_until_running(12)  # both quotas of 12 cores are used
         first = {task_id.rpartition("/")[0] for task_id in task_ids}
@@ -191,9 +199,9 @@
             simulation.checker.check_cancellations()
         for job_id in simulation.jobs:
             await simulation.cancel(job_id)
-        await simulation.wait_until_over(100.0)
+        await simulation.wait_until_jobs_final(100.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("change", ["crash", "quick", "resigns", "rolls", "refused"])
@@ -205,14 +213,14 @@
         simulation.run_s = 50.0
         for n in range(10):
             team = ("red", "blue", "guest")[n % 3]
-            await simulation.submit(job(f"wk-{n:06d}", 2, team=team, estimated_run_s=50.0))
+            await simulation.submit(job_spec(f"wk-{n:06d}", 2, team=team, estimated_run_s=50.0))
         await simulation.wait_until_running(8)
 
         async def users() -> None:
             for n in range(8):
                 await asyncio.sleep(simulation.random.uniform(0.0, 0.9))
                 await simulation.cancel(f"wk-{n:06d}")
-                await query_all_controllers(simulation, f"wk-{n:06d}")
+                await query_and_resubmit_on_all_controllers(simulation, f"wk-{n:06d}")
 
         cancelling = asyncio.ensure_future(users())
         await asyncio.sleep(0.5)
@@ -237,9 +245,9 @@
         }
         assert not running_jobs & set(simulation.checker.cancelled_at)
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(150.0)
+        await simulation.wait_until_jobs_final(150.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 def test_cancellations_are_confirmed_within_2_s_while_many_small_jobs_run() -> None:
@@ -252,7 +260,9 @@
 
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
-            await simulation.submit(job(job_id, 1, team="guest", cores=0.5, estimated_run_s=2.0))
+            await simulation.submit(
+                job_spec(job_id, 1, team="guest", cores=0.5, estimated_run_s=2.0)
+            )
             if number % 4 == 0:
                 await asyncio.sleep(simulation.random.uniform(0.0, 2.0))
                 requested_at = now()
@@ -265,9 +275,9 @@
             await asyncio.sleep(0.25)
         await asyncio.gather(*users)
         assert max(latencies_s) < 2.0
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -283,7 +293,7 @@
 
         async def user(number: int) -> None:
             job_id = f"wk-{number:06d}"
-            spec = job(job_id, 1 + number % 2, team=("red", "blue", "guest")[number % 3])
+            spec = job_spec(job_id, 1 + number % 2, team=("red", "blue", "guest")[number % 3])
             await simulation.submit(spec)
             last = f"{job_id}/{spec['legs'] - 1}"
             while last not in simulation.checker.completed_tasks:
@@ -294,26 +304,26 @@
                     simulation.try_to_cancel(job_id, node)
                     for node in simulation.random.sample(NODES, 2)
                 ),
-                query_all_controllers(simulation, job_id),
+                query_and_resubmit_on_all_controllers(simulation, job_id),
             )
-            await query_all_controllers(simulation, job_id)
+            await query_and_resubmit_on_all_controllers(simulation, job_id)
 
         await asyncio.gather(*(user(n) for n in range(12)))
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 @pytest.mark.parametrize("after", [0.0, 0.3, 5.5, 6.2, 7.5])
 def test_job_cancelled_while_its_tasks_start_stays_cancelled(after: float) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 4))
-        await simulation.submit(job("wk-000002", 2, team="blue"))
+        await simulation.submit(job_spec("wk-000001", 4))
+        await simulation.submit(job_spec("wk-000002", 2, team="blue"))
         await asyncio.sleep(after)
         assert await simulation.cancel("wk-000001") == "aborted"
         assert await simulation.cancel("wk-000001") == "aborted"
-        await simulation.wait_until_over(150.0)
+        await simulation.wait_until_jobs_final(150.0)
 
-    simulation = run(scenario)
+    simulation = run_scenario(scenario)
     assert simulation.checker.statuses["wk-000001"] == "aborted"
--- a/tests/test_claims_in_flight.py
+++ b/tests/test_claims_in_flight.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from tests.scenario import run
-from tests.simulation import Simulation, job
+from tests.scenario import run_scenario
+from tests.simulation import Simulation, job_spec
 
 RESPONSE_DELAY_S = 0.05  # the watch returns a record well before this
 
@@ -27,8 +27,8 @@
             RESPONSE_DELAY_S if target == "/multi" else 0.0
         )
         for n in range(4):
-            await simulation.submit(job(f"wk-{n:06d}", 3, team="red" if n % 2 else "blue"))
-        await simulation.wait_until_over(120.0)
+            await simulation.submit(job_spec(f"wk-{n:06d}", 3, team="red" if n % 2 else "blue"))
+        await simulation.wait_until_jobs_final(120.0)
 
-    simulation = run(scenario)
+    simulation = run_scenario(scenario)
     assert simulation.checker.start_count == recorded == 12
--- a/tests/test_cloud_faults.py
+++ b/tests/test_cloud_faults.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.scenario import now, run
-from tests.simulation import SMALL, Simulation, job
+from tests.scenario import now, run_scenario
+from tests.simulation import SMALL, Simulation, job_spec
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -28,7 +28,7 @@
         )
         for n in range(4):
             await simulation.submit(
-                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=15.0)
+                job_spec(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=15.0)
             )
         for _ in range(4):
             await asyncio.sleep(simulation.random.uniform(0.4, 5.0))
@@ -38,9 +38,9 @@
             simulation.boot(leader)
         simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(
+    run_scenario(
         scenario,
         seed,
         replace(SMALL, machine_types=({**SMALL.machine_types[0], "startup_s": 0.3},)),
@@ -64,12 +64,12 @@
             return 0.0, False
 
         simulation.network.delivery_rule = delivery
-        await simulation.submit(job("wk-000001", 4))
-        await simulation.wait_until_over(60.0)
+        await simulation.submit(job_spec("wk-000001", 4))
+        await simulation.wait_until_jobs_final(60.0)
         assert lost == 2
 
     machine_types = tuple({**kind, "startup_s": startup_s} for kind in SMALL.machine_types)
-    simulation = run(scenario, deployment=replace(SMALL, machine_types=machine_types))
+    simulation = run_scenario(scenario, deployment=replace(SMALL, machine_types=machine_types))
     # 4 tasks of 2 cores need 2 machines of 4 cores; repeated requests rent none.
     assert simulation.cloud.rented_count <= 3
 
@@ -84,14 +84,14 @@
             return 0.0, False
 
         simulation.network.delivery_rule = delivery
-        await simulation.submit(job("wk-000001", 4))
+        await simulation.submit(job_spec("wk-000001", 4))
         while not simulation.cloud.rented_count:
             await asyncio.sleep(0.05)
         simulation.crash(first)
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
         simulation.boot(first)
 
-    simulation = run(scenario)
+    simulation = run_scenario(scenario)
     assert simulation.cloud.rented_count <= 4
 
 
@@ -107,11 +107,11 @@
             return 0.0, False
 
         simulation.network.delivery_rule = delivery
-        await simulation.submit(job("wk-000001", 4))
-        await simulation.wait_until_over(60.0)
+        await simulation.submit(job_spec("wk-000001", 4))
+        await simulation.wait_until_jobs_final(60.0)
         await asyncio.sleep(60.0)
 
-    simulation = run(scenario)
+    simulation = run_scenario(scenario)
     assert not simulation.cloud.machines
 
 
@@ -122,7 +122,7 @@
         simulation.cloud.capacity = {True: 0, False: 0}
         node = simulation.nodes[await simulation.wait_for_leader()]
         node.scheduler.claim_builder.spare_writes = lambda now: 0  # so no record is deleted
-        await simulation.submit(job("wk-000001", 4, estimated_run_s=10.0))
+        await simulation.submit(job_spec("wk-000001", 4, estimated_run_s=10.0))
         await asyncio.sleep(20.0)
         old = set(simulation.cloud.request_bodies_by_key)
         assert len(old) > 3
@@ -131,16 +131,16 @@
         simulation.crash(node.settings.host_name)
         await asyncio.sleep(60.0)
         assert not old & set(simulation.cloud.machines_by_key)
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("never", [False, True])
 def test_machines_that_boot_late_or_never_are_replaced(never: bool) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.boot_delay_s = 900.0 if never else 25.0
-        await simulation.submit(job("wk-000001", 8, estimated_run_s=5.0))
+        await simulation.submit(job_spec("wk-000001", 8, estimated_run_s=5.0))
         await asyncio.sleep(3.0)
         first = set(simulation.cloud.machines)
         simulation.boot_delay_s = 0.0
@@ -153,9 +153,9 @@
         await asyncio.sleep(20.0)
         if never:
             assert not first & set(simulation.cloud.machines)  # they were returned
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_submission_soon_after_an_election_is_accepted() -> None:
@@ -167,12 +167,12 @@
     async def scenario(simulation: Simulation) -> None:
         await simulation.wait_for_leader()
         await asyncio.sleep(0.3)
-        simulation.jobs["wk-000001"] = job("wk-000001", 2)
+        simulation.jobs["wk-000001"] = job_spec("wk-000001", 2)
         status, response = await simulation.ask(
             "n0", "POST", "/v2/runs", simulation.jobs["wk-000001"]
         )
         assert status == 201
         simulation.checker.record_answer("wk-000001", status, response)
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -10,8 +10,8 @@
 import pytest
 
 from petrelthread.emulator.worker import Worker
-from tests.scenario import run
-from tests.simulation import NODES, Simulation, job
+from tests.scenario import run_scenario
+from tests.simulation import NODES, Simulation, job_spec
 
 
 @dataclass(frozen=True)
@@ -184,13 +184,15 @@
 
     async def scenario(simulation: Simulation) -> None:
         rng = random.Random(seed)
-        simulation.spread_s = 8.0
+        simulation.run_time_spread_s = 8.0
         simulation.failing_jobs.add("wk-000003")
         for n in range(10):
             team = ("red", "blue", "guest")[n % 3]
             priority = "low" if team == "guest" else rng.choice(["standard", "high"])
             more = {"checkpoint_interval_s": 2.0, "grace_period_s": 1.0} if team == "guest" else {}
-            spec = job(f"wk-{n:06d}", rng.choice([1, 4, 20]), team=team, priority=priority, **more)
+            spec = job_spec(
+                f"wk-{n:06d}", rng.choice([1, 4, 20]), team=team, priority=priority, **more
+            )
             await simulation.submit({**spec, "cores": rng.choice([1.0, 2.0, 4.0])})
         await simulation.wait_until_running(2)
         faults = []
@@ -201,9 +203,9 @@
         await simulation.cancel("wk-000004")
         await asyncio.gather(*faults)
         assert await simulation.cancel("wk-000003") == "aborted"
-        await simulation.wait_until_over(240.0)
+        await simulation.wait_until_jobs_final(240.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -211,10 +213,10 @@
     async def scenario(simulation: Simulation) -> None:
         for n in range(6):
             team = "red" if n % 2 else "blue"
-            await simulation.submit(job(f"wk-{n:06d}", 3 + n, team=team))
-        await simulation.wait_until_over(120.0)
+            await simulation.submit(job_spec(f"wk-{n:06d}", 3 + n, team=team))
+        await simulation.wait_until_jobs_final(120.0)
 
-    simulation = run(scenario, seed)
+    simulation = run_scenario(scenario, seed)
     assert simulation.checker.start_count == sum(3 + n for n in range(6))  # each task started once
     assert not simulation.cloud.machines  # all were returned
     remaining_keys = [
@@ -226,16 +228,16 @@
 def test_state_service_outage_longer_than_a_worker_lease_stops_no_task() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 30.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         await simulation.wait_until_running(6)
         simulation.state_service.set_outage(True)
         status, _ = await simulation.ask("n0", "GET", "/v2/runs/wk-000001")
         assert status == 503
         await asyncio.sleep(18.0)
         simulation.state_service.set_outage(False)
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
         killed = sum(m.worker.killed_by_lease for m in simulation.cloud.machines.values())
         assert not killed
 
-    simulation = run(scenario)
+    simulation = run_scenario(scenario)
     assert simulation.checker.start_count == 6
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -29,8 +29,8 @@
 from petrelthread.emulator.workload import draw_jobs
 from petrelthread.http import NoResponseError
 from tests.scenario import now
-from tests.simulation import NODES, Simulation, job
-from tests.virtual import play
+from tests.simulation import NODES, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 ROOT = Path(__file__).parent.parent
 Scenario = Callable[[Simulation], None]
@@ -44,7 +44,7 @@
         scenario(simulation)
         return simulation.checker.violations
 
-    violations: list[str] = play(run())
+    violations: list[str] = run_in_virtual_time(run())
     return violations
 
 
@@ -67,7 +67,7 @@
 )
 def test_third_task_in_wrong_zone_is_reported(flag: str, third_zone: str) -> None:
     def scenario(simulation: Simulation) -> None:
-        simulation.jobs["wk-000001"] = job("wk-000001", 3, **{flag: True})
+        simulation.jobs["wk-000001"] = job_spec("wk-000001", 3, **{flag: True})
         start(simulation, "wk-000001/0", 1, "a")
         start(simulation, "wk-000001/1", 2, "a")
         assert not simulation.checker.violations
@@ -78,7 +78,7 @@
 
 def test_single_zone_job_may_change_zone_once_no_task_runs() -> None:
     def scenario(simulation: Simulation) -> None:
-        simulation.jobs["wk-000001"] = job("wk-000001", 2, single_zone=True)
+        simulation.jobs["wk-000001"] = job_spec("wk-000001", 2, single_zone=True)
         start(simulation, "wk-000001/0", 1, "a")
         simulation.checker.record_end("wk-000001/0", "host-000001")
         start(simulation, "wk-000001/0", 2, "b")
@@ -96,7 +96,7 @@
 )
 def test_start_on_disallowed_machine_is_reported(spec: dict[str, Any], spot: bool) -> None:
     def scenario(simulation: Simulation) -> None:
-        simulation.jobs["wk-000001"] = job("wk-000001", 1, **spec)
+        simulation.jobs["wk-000001"] = job_spec("wk-000001", 1, **spec)
         start(simulation, "wk-000001/0", 1, "a", spot)
 
     assert [text.partition(":")[0] for text in violations_after(scenario)] == ["wrong_place"]
@@ -104,7 +104,7 @@
 
 def test_unrecorded_and_second_start_are_reported() -> None:
     def scenario(simulation: Simulation) -> None:
-        simulation.jobs["wk-000001"] = job("wk-000001", 1)
+        simulation.jobs["wk-000001"] = job_spec("wk-000001", 1)
         start(simulation, "wk-000001/0", 1, "a")
         simulation.checker.recorded_tasks.clear()
         simulation.checker.record_start("wk-000001/0", machine_description(2, "a"), 0.0)
@@ -120,8 +120,8 @@
 
     async def run() -> list[str]:
         simulation = Simulation()
-        simulation.jobs["wk-000001"] = job("wk-000001", 6)  # uses the whole quota of the team
-        simulation.jobs["wk-000002"] = job("wk-000002", 1)
+        simulation.jobs["wk-000001"] = job_spec("wk-000001", 6)  # uses the whole quota of the team
+        simulation.jobs["wk-000002"] = job_spec("wk-000002", 1)
         machine = machine_description(1, "a")
         worker = Worker(simulation, machine)
         simulation.cloud.machines[machine.name] = RentedMachine(machine, 1e9, worker)
@@ -143,7 +143,7 @@
         )
         return simulation.checker.violations[1:]
 
-    assert play(run()) == []
+    assert run_in_virtual_time(run()) == []
 
 
 def test_only_jobs_that_users_poll_count_as_forgotten() -> None:
@@ -152,14 +152,14 @@
     async def run() -> list[str]:
         simulation = Simulation()
         for job_id, status in (("wk-000001", "done"), ("wk-000002", "running")):
-            simulation.jobs[job_id] = job(job_id, 0)
+            simulation.jobs[job_id] = job_spec(job_id, 0)
             simulation.checker.record_answer(job_id, 200, {"status": status})
         simulation.checker.faults_ended_at = asyncio.get_running_loop().time()
         await asyncio.sleep(80.0)
         simulation.checker.check_answers(["wk-000002"])
         return simulation.checker.violations
 
-    (violation,) = play(run())
+    (violation,) = run_in_virtual_time(run())
     assert violation.startswith("forgotten: no answer about wk-000002 for 80 s")
 
 
@@ -199,7 +199,7 @@
         assert not free.response_lost
         assert not faults.delivery("any", "host-1", "/show").delay_s
 
-    play(run())
+    run_in_virtual_time(run())
 
 
 def test_workload_covers_all_attributes_that_rules_use() -> None:
@@ -324,7 +324,7 @@
 def test_job_without_response_after_faults_counts_as_forgotten() -> None:
     async def main() -> None:
         simulation = Simulation()
-        await simulation.submit(job("wk-000001", 2))
+        await simulation.submit(job_spec("wk-000001", 2))
         simulation.checker.faults_ended_at = now()
         simulation.network.partitions |= {frozenset(("user", n)) for n in NODES}
         with pytest.raises(NoResponseError):
@@ -336,4 +336,4 @@
         simulation.checker.check_answers()
         assert any(text.startswith("forgotten") for text in simulation.checker.violations)
 
-    play(main())
+    run_in_virtual_time(main())
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -9,9 +9,9 @@
 import pytest
 
 from petrelthread.leadership import Role
-from tests.scenario import cancel_at, now, other_controllers, run
-from tests.simulation import NODES, Simulation, job
-from tests.virtual import play
+from tests.scenario import now, other_controllers, run_scenario, try_to_cancel_at
+from tests.simulation import NODES, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 def test_leader_with_a_renewed_lease_commands_nothing_before_it_reads_the_state() -> None:
@@ -19,7 +19,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 100.0
-        await simulation.submit(job("wk-000001", 4, estimated_run_s=100.0))
+        await simulation.submit(job_spec("wk-000001", 4, estimated_run_s=100.0))
         await simulation.wait_until_running(4)
         leader = await simulation.wait_for_leader()
         election = simulation.nodes[leader].election
@@ -33,15 +33,15 @@
 
         simulation.network.delivery_rule = delivery
         simulation.state_service.set_outage(False)
-        assert await cancel_at(simulation, "wk-000001", other_controllers(leader))
+        assert await try_to_cancel_at(simulation, "wk-000001", other_controllers(leader))
         for _ in range(20):
             await asyncio.sleep(0.1)
             known = simulation.nodes[leader].cluster_state.jobs_by_id["wk-000001"].final_status
             assert known or not (election.is_leader and election.fence())
         simulation.network.delivery_rule = None
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("inside_an_outage", [False, True])
@@ -53,11 +53,11 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.run_s, simulation.spread_s = 4.0, 45.0
+        simulation.run_s, simulation.run_time_spread_s = 4.0, 45.0
         for n in range(10):
             team = ("red", "blue", "guest")[n % 3]
             await simulation.submit(
-                job(f"wk-{n:06d}", 2 + n % 2, team=team, cores=1.0, estimated_run_s=20.0)
+                job_spec(f"wk-{n:06d}", 2 + n % 2, team=team, cores=1.0, estimated_run_s=20.0)
             )
         await simulation.wait_until_running(10)
         for n in range(10):
@@ -74,9 +74,9 @@
             await simulation.poll()
         simulation.state_service.set_outage(False)
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(150.0)
+        await simulation.wait_until_jobs_final(150.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 def test_isolated_leader_is_a_follower_after_its_partition_ends() -> None:
@@ -84,7 +84,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 25.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         await simulation.wait_until_running(4)
         old = await simulation.wait_for_leader()
         others = {"state", "cloud", "user", *NODES} | set(simulation.cloud.machines)
@@ -96,14 +96,14 @@
         simulation.network.partitions -= cuts
         await asyncio.sleep(2.0)
         assert simulation.nodes[old].election.role is Role.FOLLOWER
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_leader_refused_by_the_state_service_is_replaced() -> None:
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 10))
+        await simulation.submit(job_spec("wk-000001", 10))
         await simulation.wait_until_running(2)
         old = await simulation.wait_for_leader()
         simulation.state_service.refused_controllers.add(old)
@@ -111,16 +111,16 @@
         assert simulation.leader not in (None, old)
         status, _ = await simulation.ask(old, "GET", "/ready")
         assert status == 503
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
         simulation.state_service.refused_controllers.clear()
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_leader_partitioned_from_all_workers_is_replaced() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 20.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
         simulation.network.partitions |= {
@@ -128,33 +128,33 @@
         }
         await asyncio.sleep(12.0)
         assert simulation.leader not in (None, old)
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("pause", [0.3, 3.0, 12.0])
 def test_jobs_complete_after_all_controllers_restart(pause: float) -> None:
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 12))
-        await simulation.submit(job("wk-000002", 4, team="blue"))
+        await simulation.submit(job_spec("wk-000001", 12))
+        await simulation.submit(job_spec("wk-000002", 4, team="blue"))
         await simulation.wait_until_running(4)
         for name in NODES:
             simulation.crash(name)
         await asyncio.sleep(pause)
         for name in NODES:
             simulation.boot(name)
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("cloud_too", [False, True])
 def test_leader_that_reaches_only_workers_steps_down(cloud_too: bool) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 4, estimated_run_s=60.0))
-        await simulation.submit(job("wk-000002", 4, team="blue", estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 4, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000002", 4, team="blue", estimated_run_s=60.0))
         await simulation.wait_until_running(8)
         old = await simulation.wait_for_leader()
         since = now()
@@ -171,7 +171,7 @@
         before = now()
         status, _ = await simulation.ask(old, "GET", "/v2/runs/wk-000001")
         assert status == 503
-        status, _ = await simulation.ask(old, "POST", "/v2/runs", job("wk-000009", 1))
+        status, _ = await simulation.ask(old, "POST", "/v2/runs", job_spec("wk-000009", 1))
         assert status == 503
         assert now() - before < 2.5
         assert await simulation.cancel("wk-000002") == "aborted"
@@ -184,9 +184,9 @@
             await asyncio.sleep(0.5)
         assert simulation.nodes[old].election.role is Role.FOLLOWER
         simulation.network.partitions.clear()
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
@@ -202,7 +202,7 @@
         simulation.network.duplicate_rule = duplicate
         for n in range(3):
             await simulation.submit(
-                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=20.0)
+                job_spec(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=20.0)
             )
         for _ in range(6):
             name = rng.choice(NODES)
@@ -217,7 +217,7 @@
         await asyncio.sleep(0.35)
         simulation.crash(leader)
         simulation.boot(leader)
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
         for key, value in simulation.state_service.puts:
             if key == "pt/lead":
                 nonces.setdefault(value["epoch"], set()).add(value["nonce"])
@@ -229,7 +229,7 @@
                 rounds.setdefault(key, set()).add(repr(value))
         assert all(len(written) == 1 for written in rounds.values())
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
     assert nonces
 
 
@@ -240,7 +240,7 @@
         simulation.run_s = 10.0
         for n in range(1, 5):
             await simulation.submit(
-                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=10.0)
+                job_spec(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=10.0)
             )
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
@@ -250,9 +250,9 @@
         assert now() < crashed_at + 8.0  # lease, election and reload
         await asyncio.sleep(crashed_at + 90.0 - now())
         simulation.boot(old)
-        await simulation.wait_until_over(100.0)
+        await simulation.wait_until_jobs_final(100.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_new_leader_reads_workers_that_wait_for_a_paused_controller() -> None:
@@ -263,7 +263,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 4.0
-        await simulation.submit(job("wk-000001", 60, estimated_run_s=4.0))
+        await simulation.submit(job_spec("wk-000001", 60, estimated_run_s=4.0))
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
         pausing = asyncio.ensure_future(simulation.pause(old, 30.0))
@@ -276,9 +276,9 @@
         assert usable >= 3, usable
         assert now() - elected < 2.0
         await pausing
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 MAX_RESTART_S = 8.0  # from the election until all tasks of a lost machine have restarted
@@ -288,7 +288,7 @@
 def test_tasks_of_a_machine_lost_with_the_leader_restart_within_8_s(seed: int) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
         lost_worker = simulation.worker_running(task_ids[0])
@@ -312,9 +312,9 @@
             await asyncio.sleep(0.05)
             assert now() - elected < MAX_RESTART_S
         simulation.boot(old)
-        await simulation.wait_until_over(300.0)
+        await simulation.wait_until_jobs_final(300.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -323,7 +323,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 30.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=30.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=30.0))
         await simulation.wait_until_running(6)
         old = await simulation.wait_for_leader()
 
@@ -335,9 +335,9 @@
         await asyncio.sleep(12.0)
         simulation.network.delivery_rule = None
         simulation.boot(old)
-        await simulation.wait_until_over(300.0)
+        await simulation.wait_until_jobs_final(300.0)
 
-    simulation = run(scenario, seed)
+    simulation = run_scenario(scenario, seed)
     assert simulation.checker.start_count == 6
 
 
@@ -351,4 +351,4 @@
         assert node.scheduling_loop.unresponsive_after_s(now()) == simulation.workers.lease_s
         assert node.scheduling_loop.unresponsive_after_s(now() + usual + 1.0) == usual
 
-    play(main())
+    run_in_virtual_time(main())
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -5,39 +5,43 @@
 import asyncio
 from dataclasses import replace
 
-from tests.scenario import now, run
-from tests.simulation import SMALL, Simulation, job
-from tests.virtual import play
+from tests.scenario import now, run_scenario
+from tests.simulation import SMALL, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 def test_jobs_of_a_team_without_limit_and_of_a_class_without_objectives_complete() -> None:
     """A missing limit was read as 0 cores, so all jobs of such teams were refused with 422."""
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 6))
+        await simulation.submit(job_spec("wk-000001", 6))
         await simulation.submit(
-            job("wk-000002", 20, team="guest", job_class="idle-scan", priority="low")
+            job_spec("wk-000002", 20, team="guest", job_class="idle-scan", priority="low")
         )
         await simulation.submit(
-            job("wk-000003", 1, team="guest", job_class="tiny", estimated_run_s=0.0)
+            job_spec("wk-000003", 1, team="guest", job_class="tiny", estimated_run_s=0.0)
         )
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
         assert set(simulation.checker.statuses.values()) == {"done"}
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_a_task_that_needs_a_whole_machine_starts_despite_a_backlog_of_small_tasks() -> None:
     """Tasks of 16 cores waited 320 to 500 s, as no machine ever had 16 cores free at once."""
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.spread_s = 10.0
+        simulation.run_time_spread_s = 10.0
         # The limits of both teams add up to all cores; no machine becomes empty unless reserved.
-        await simulation.submit(job("wk-000001", 2000, cores=1.0, team="red", estimated_run_s=8.0))
-        await simulation.submit(job("wk-000002", 2000, cores=1.0, team="blue", estimated_run_s=8.0))
+        await simulation.submit(
+            job_spec("wk-000001", 2000, cores=1.0, team="red", estimated_run_s=8.0)
+        )
+        await simulation.submit(
+            job_spec("wk-000002", 2000, cores=1.0, team="blue", estimated_run_s=8.0)
+        )
         await simulation.wait_until_running(16)
         submitted_at = now()
-        wide = job(
+        wide = job_spec(
             "wk-000003",
             3,
             cores=4.0,
@@ -52,9 +56,9 @@
             assert now() < submitted_at + 240.0
         for n in (1, 2, 3):
             await simulation.cancel(f"wk-{n:06d}")
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario, deployment=replace(SMALL, spot=6, on_demand=0))
+    run_scenario(scenario, deployment=replace(SMALL, spot=6, on_demand=0))
 
 
 def test_the_largest_job_starts_despite_a_steady_stream_of_small_jobs() -> None:
@@ -64,10 +68,10 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-100000", 400, estimated_run_s=5.0))
+        await simulation.submit(job_spec("wk-100000", 400, estimated_run_s=5.0))
         submitted_at = now()
         for n in range(75):
-            await simulation.submit(job(f"wk-{n:06d}", 3, estimated_run_s=5.0))
+            await simulation.submit(job_spec(f"wk-{n:06d}", 3, estimated_run_s=5.0))
             await asyncio.sleep(2.9)
         start_times = [
             at
@@ -81,9 +85,9 @@
         ]
         assert len(with_status) == 75
         await simulation.cancel("wk-100000")
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_the_shortest_start_objective_of_a_class_decides_when_to_preempt() -> None:
@@ -95,17 +99,19 @@
     async def scenario() -> None:
         simulation = Simulation(1, replace(SMALL, text=text, spot=5, on_demand=0))
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 30))
-        await simulation.submit(job("wk-000002", 30, team="blue"))
+        await simulation.submit(job_spec("wk-000001", 30))
+        await simulation.submit(job_spec("wk-000002", 30, team="blue"))
         await simulation.wait_until_running(10)
         submitted_at = asyncio.get_running_loop().time()
-        await simulation.submit(job("wk-000003", 2, team="blue", job_class="rush", priority="high"))
+        await simulation.submit(
+            job_spec("wk-000003", 2, team="blue", job_class="rush", priority="high")
+        )
         while "wk-000003/1" not in simulation.checker.started_at:
             await asyncio.sleep(0.1)
         assert simulation.checker.started_at["wk-000003/1"] - submitted_at < 6.0
         assert not simulation.checker.violations
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_higher_priority_job_beyond_the_guarantee_preempts_no_task_within_it() -> None:
@@ -115,22 +121,22 @@
         simulation = Simulation(1, replace(SMALL, spot=2, on_demand=0))
         simulation.run_s = 40.0
         # Two tasks of two cores are exactly the guarantee of four cores.
-        await simulation.submit(job("wk-000001", 2, estimated_run_s=40.0))
-        await simulation.submit(job("wk-000002", 2, estimated_run_s=40.0, team="blue"))
+        await simulation.submit(job_spec("wk-000001", 2, estimated_run_s=40.0))
+        await simulation.submit(job_spec("wk-000002", 2, estimated_run_s=40.0, team="blue"))
         await simulation.wait_until_running(4)
-        await simulation.submit(job("wk-000003", 2, job_class="rush", priority="high"))
-        await simulation.wait_until_over(200.0)
+        await simulation.submit(job_spec("wk-000003", 2, job_class="rush", priority="high"))
+        await simulation.wait_until_jobs_final(200.0)
         assert simulation.checker.start_count == 6
         assert not simulation.checker.violations
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_starts_respect_team_limits_zones_and_on_demand_requirements() -> None:
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 20))
-        await simulation.submit(job("wk-000002", 4, team="blue", zone="b", spot_allowed=False))
-        await simulation.submit(job("wk-000003", 2, team="blue", single_zone=True))
-        await simulation.wait_until_over(200.0)
+        await simulation.submit(job_spec("wk-000001", 20))
+        await simulation.submit(job_spec("wk-000002", 4, team="blue", zone="b", spot_allowed=False))
+        await simulation.submit(job_spec("wk-000003", 2, team="blue", single_zone=True))
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_faulty_jobs_and_machines.py
+++ b/tests/test_faulty_jobs_and_machines.py
@@ -6,8 +6,8 @@
 
 from petrelthread.admin.explain import explain_waiting
 from petrelthread.emulator.worker import Worker
-from tests.scenario import now, run
-from tests.simulation import Simulation, job
+from tests.scenario import now, run_scenario
+from tests.simulation import Simulation, job_spec
 
 
 def recorded_start_count(simulation: Simulation, job_id: str) -> int:
@@ -32,7 +32,7 @@
         simulation.failing_jobs |= {"wk-000001", "wk-000002"}
         for n in range(1, 7):
             await simulation.submit(
-                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
+                job_spec(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
             )
         await asyncio.sleep(30.0)
         starts_before = recorded_start_count(simulation, "wk-000001")
@@ -57,11 +57,11 @@
         assert simulation.checker.start_count - starts <= 6  # retried with growing backoff
         for failing_job in sorted(simulation.failing_jobs):
             assert await simulation.cancel(failing_job) == "aborted"
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
         await asyncio.sleep(5.0)
         assert not [key for key in simulation.state_service.keys if key.startswith("pt/s/")]
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_faulty_machine_is_returned_while_a_job_fails_on_all_machines() -> None:
@@ -69,7 +69,7 @@
         simulation.failing_jobs |= {"wk-000001"}
         for n in range(1, 5):
             await simulation.submit(
-                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
+                job_spec(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], estimated_run_s=20.0)
             )
         await simulation.wait_until_running(4)
         faulty_worker: Worker = next(m.worker for m in simulation.cloud.machines.values())
@@ -80,15 +80,15 @@
         await simulation.poll()
         assert [simulation.checker.statuses[f"wk-{n:06d}"] for n in range(2, 5)] == ["done"] * 3
         await simulation.cancel("wk-000001")
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_tasks_complete_although_others_of_their_job_fail() -> None:
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 30, estimated_run_s=5.0))
-        await simulation.submit(job("wk-000002", 30, team="blue", estimated_run_s=5.0))
+        await simulation.submit(job_spec("wk-000001", 30, estimated_run_s=5.0))
+        await simulation.submit(job_spec("wk-000002", 30, team="blue", estimated_run_s=5.0))
         simulation.failing_tasks |= {f"wk-000001/{n}" for n in (0, 1, 2, 3, 7)}
         await asyncio.sleep(75.0)
         node = simulation.nodes[await simulation.wait_for_leader()]
@@ -101,19 +101,19 @@
             node, node.cluster_state.jobs_by_id["wk-000001"], now()
         )
         simulation.failing_tasks.clear()
-        await simulation.wait_until_over(100.0)
+        await simulation.wait_until_jobs_final(100.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_faulty_machine_is_returned_and_its_job_completes_elsewhere() -> None:
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 4))
+        await simulation.submit(job_spec("wk-000001", 4))
         task_ids = await simulation.wait_until_running(2)
         faulty_worker = simulation.worker_running(task_ids[0])
         faulty_worker.faulty = True
-        await simulation.submit(job("wk-000002", 6, team="blue"))
-        await simulation.wait_until_over(150.0)
+        await simulation.submit(job_spec("wk-000002", 6, team="blue"))
+        await simulation.wait_until_jobs_final(150.0)
         assert faulty_worker.terminated
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,8 +14,8 @@
 
 from petrelthread.fleet import Machine
 from tests.fleet import MACHINE_COUNT, ONE_ZONE, THREE_ZONES, Load
-from tests.simulation import Deployment, Simulation, job
-from tests.virtual import play
+from tests.simulation import Deployment, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 Scenario = Callable[[Simulation, Load], Awaitable[None]]
 MAX_SETTLE_S = 20.0  # until a new leader has heartbeats of all machines that can reach it
@@ -59,7 +59,7 @@
         load = Load(simulation)
         await fill_machines(simulation, load)
         await scenario(simulation, load)
-        await simulation.wait_until_over(400.0)
+        await simulation.wait_until_jobs_final(400.0)
         simulation.checker.faults_ended_at = now()
         await simulation.poll()
         assert not simulation.checker.violations, simulation.checker.violations
@@ -75,7 +75,7 @@
         assert not late, late
         return simulation
 
-    result: Simulation = play(main())
+    result: Simulation = run_in_virtual_time(main())
     return result
 
 
@@ -190,7 +190,7 @@
     async def scenario() -> None:
         simulation = Simulation(1)
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 12))
+        await simulation.submit(job_spec("wk-000001", 12))
         await simulation.wait_until_running(6)
         leader = simulation.nodes[await simulation.wait_for_leader()]
         examined: list[int] = []
@@ -207,4 +207,4 @@
         assert len(set(examined)) == 1
         assert len(examined) <= 6
 
-    play(scenario())
+    run_in_virtual_time(scenario())
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -23,8 +23,8 @@
     pack_finished_tasks,
     pack_round_records,
 )
-from tests.simulation import Simulation, job
-from tests.virtual import play
+from tests.simulation import Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 ARRAY_JOB = ["red", "batch", 1, 4, 2.0, 0.0, 2.0, "img-1", 1.0, None, None, 4, 5.0, 0.0, 0.0, None]
 GOLDEN: dict[str, Any] = {
@@ -101,9 +101,9 @@
     async def main() -> None:
         simulation = Simulation()
         simulation.failing_jobs.add("wk-000002")
-        simulation.spread_s = 6.0
+        simulation.run_time_spread_s = 6.0
         for n in range(4):
-            await simulation.submit(job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2]))
+            await simulation.submit(job_spec(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2]))
         await asyncio.sleep(25.0)
         simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(60.0)
@@ -112,7 +112,7 @@
         kinds = {key.split("/")[1] for key, _ in simulation.state_service.puts}
         assert kinds >= {"j", "f", "r", "d", "c", "x", "lead", "epoch", "catalog"}
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_packed_records_have_the_production_format() -> None:
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -44,7 +44,7 @@
     state_client,
 )
 from tests.simulation import settings_of
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 # ---- users and workers -------------------------------------------------------------------------
 
@@ -101,7 +101,7 @@
         response = await controller.handle(method, target, data)
         expect("users", "requests before the state is read", case, response_facts(response))
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 # ---- cloud and state service -------------------------------------------------------------------
@@ -146,7 +146,7 @@
         result = await result_or_failure(CLOUD_CALLS[name](client), CLOUD_FAILURES)
         expect("cloud", "calls", case, [requester.requests, result])
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 STATE_FAILURES: dict[str, type[Exception]] = {
@@ -184,7 +184,7 @@
         result = await result_or_failure(STATE_CALLS[name](state_client(requester)), STATE_FAILURES)
         expect("state_service", "calls", case, [requester.requests, result])
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_watch_cache_reports_keys_and_changes_as_read() -> None:
@@ -197,7 +197,7 @@
         requests = requester.requests
         expect("state_service", "reading", "two pages, then a watch", [requests, notified])
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 # ---- between controllers -----------------------------------------------------------------------
@@ -215,7 +215,7 @@
         response = response_facts(await monitor.handle(method, orjson.dumps(body)))
         expect("peers", "greetings taken in", case, [as_json(received), response])
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_sent_peer_heartbeats_and_recorded_loans_match_the_golden_file() -> None:
@@ -235,7 +235,7 @@
         recent = as_json(monitor.recent(1.0))
         expect("peers", "greetings sent", "answered", [requester.requests, recent, loans])
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 # ---- command line ------------------------------------------------------------------------------
--- a/tests/test_golden_stored_keys.py
+++ b/tests/test_golden_stored_keys.py
@@ -25,7 +25,7 @@
 )
 from petrelthread.store import WatchCache
 from tests.golden_data import ScriptedRequester, case_input, case_names, expect, state_client
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 NOW = 1_700_000_000.123456
 
@@ -145,4 +145,4 @@
         facts = [election.leader_name, election.highest_known_epoch, election.may_answer_workers]
         expect("stored_keys", "election", "another's lead read", facts)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
--- a/tests/test_golden_traffic.py
+++ b/tests/test_golden_traffic.py
@@ -23,8 +23,8 @@
     without_numbers,
     without_times,
 )
-from tests.simulation import Simulation, job
-from tests.virtual import play
+from tests.simulation import Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 async def sleep_until(at_s: float) -> None:
@@ -61,7 +61,7 @@
         ]
         expect("stored_keys", "written", "final states", sorted(final_statuses))
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 # ---- workers -----------------------------------------------------------------------------------
@@ -88,7 +88,7 @@
             facts["body"]["home"] = "<leader>"
         expect("workers", "answers to reports", case, facts)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 # ---- scale-out, scale-in, catalog, settings ----------------------------------------------------
@@ -117,7 +117,7 @@
         catalogs = [value for key, value in simulation.state_service.puts if key == "pt/catalog"]
         expect("stored_keys", "written", "catalogue", catalogs)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_the_stored_catalog_is_read() -> None:
@@ -132,7 +132,7 @@
         catalog = protocol.Catalog(node.provisioner.catalog() or ())
         expect("stored_keys", "catalogue read", "one type", msgspec.to_builtins(catalog))
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_settings_responses_and_stored_options_match_the_golden_file() -> None:
@@ -159,7 +159,7 @@
         puts = [value for key, value in simulation.state_service.puts if key == "pt/options"]
         expect("stored_keys", "written", "options", puts)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 # ---- administration ----------------------------------------------------------------------------
@@ -171,9 +171,11 @@
         hosts = RecordedHosts(simulation)
         leader = await simulation.wait_for_leader()
         follower = next(name for name in simulation.nodes if name != leader)
-        await simulation.submit(job("wk-000001", 2, team="red"))
-        await simulation.submit(job("wk-000002", 2, team="blue", kind="service", priority="prod"))
-        await simulation.submit(job("wk-000003", 9, team="guest", kind="group", cores=3.0))
+        await simulation.submit(job_spec("wk-000001", 2, team="red"))
+        await simulation.submit(
+            job_spec("wk-000002", 2, team="blue", kind="service", priority="prod")
+        )
+        await simulation.submit(job_spec("wk-000003", 9, team="guest", kind="group", cores=3.0))
         await sleep_until(125.0)
         for case in case_names("admin", "answers"):
             asked, method, path = case_input("admin", "answers", case)
@@ -187,7 +189,7 @@
         ]
         expect("peers", "forwarded", "of a follower", forwarded)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_structure_of_the_status_during_faults_matches_the_golden_file() -> None:
@@ -211,7 +213,7 @@
             0.0,
             target in lost_targets,
         )
-        await simulation.submit(job("wk-000001", 6))
+        await simulation.submit(job_spec("wk-000001", 6))
         while not any(simulation.checker.machines_by_task.values()):
             await asyncio.sleep(0.5)
             await collect_status(simulation, leader)
@@ -229,7 +231,7 @@
         expect_structure("admin", "structure of a status in trouble", found)
         expect("admin", "operations shown", "of every kind", sorted(operations))
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 # ---- structure of all traffic ------------------------------------------------------------------
@@ -253,12 +255,14 @@
         simulation = Simulation()
         hosts = RecordedHosts(simulation)
         simulation.failing_jobs.add("wk-000002")
-        simulation.spread_s = 6.0
+        simulation.run_time_spread_s = 6.0
         for n in range(4):
             await simulation.submit(
-                job(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], deadline_s=90.0)
+                job_spec(f"wk-{n:06d}", 12, team=("red", "blue")[n % 2], deadline_s=90.0)
             )
-        await simulation.submit(job("wk-000009", 2, team="guest", kind="service", priority="prod"))
+        await simulation.submit(
+            job_spec("wk-000009", 2, team="guest", kind="service", priority="prod")
+        )
         running = await simulation.wait_until_running(8)
         await simulation.cancel(
             next(task_id[:9] for task_id in running if not task_id.startswith("wk-000009"))
@@ -277,7 +281,7 @@
             collect(partner, at, exchange["body"])
             collect(partner, f"{at} {exchange['status']}", exchange["answer"])
 
-    play(scenario())
+    run_in_virtual_time(scenario())
     assert len(found) == 6
     for file, places in found.items():
         expect_structure(file, "structure of traffic", places)
--- a/tests/test_late_messages.py
+++ b/tests/test_late_messages.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests.scenario import now, run
-from tests.simulation import NODES, Simulation, job
+from tests.scenario import now, run_scenario
+from tests.simulation import NODES, Simulation, job_spec
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.3, 1.0, 4.0])
@@ -20,7 +20,7 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.spread_s = 8.0
+        simulation.run_time_spread_s = 8.0
         kept: list[tuple[str, Any]] = []
 
         def keep(source: str, addr: str, method: str, target: str, body: Any) -> Any:
@@ -31,7 +31,7 @@
         simulation.network.delivery_rule = keep
         for n in range(5):
             await simulation.submit(
-                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
+                job_spec(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
             )
         task_ids = await simulation.wait_until_running(6)
         partitioned_worker = simulation.worker_running(task_ids[0])
@@ -54,9 +54,9 @@
             await asyncio.sleep(simulation.random.uniform(1.0, 6.0))
         simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 @pytest.mark.parametrize("late", [2.0, 9.0, 14.0, 35.0])
@@ -73,7 +73,7 @@
         )
         for n in range(4):
             team = "red" if n % 2 else "blue"
-            await simulation.submit(job(f"wk-{n:06d}", 6, team=team, estimated_run_s=20.0))
+            await simulation.submit(job_spec(f"wk-{n:06d}", 6, team=team, estimated_run_s=20.0))
         task_ids = await simulation.wait_until_running(4)
         partitioned_worker = simulation.worker_running(task_ids[0])
         simulation.network.partitions |= {
@@ -86,14 +86,14 @@
         simulation.boot(first)
         await asyncio.sleep(5.0)
         simulation.crash(await simulation.wait_for_leader())
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
         # No duplicate makes a terminated machine schedulable.
         await asyncio.sleep(late)
         node = simulation.nodes[await simulation.wait_for_leader()]
         schedulable = {m.name for m in node.fleet.machines.values() if node.fleet.is_schedulable(m)}
         assert schedulable <= set(simulation.cloud.machines)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("delay", [6.0, 14.0, 30.0])
@@ -111,16 +111,16 @@
             return 0.0, False
 
         simulation.network.delivery_rule = delivery
-        await simulation.submit(job("wk-000001", 6))
-        await simulation.submit(job("wk-000002", 3, team="blue"))
+        await simulation.submit(job_spec("wk-000001", 6))
+        await simulation.submit(job_spec("wk-000002", 3, team="blue"))
         await simulation.wait_until_running(2)
         await simulation.cancel("wk-000002")
         await asyncio.sleep(3.0)
         simulation.crash(await simulation.wait_for_leader())
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
         assert delayed_count
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_commands_are_repeated_when_every_third_response_is_lost() -> None:
@@ -137,7 +137,7 @@
             return 0.0, False
 
         simulation.network.delivery_rule = delivery
-        await simulation.submit(job("wk-000001", 12))
-        await simulation.wait_until_over(200.0)
+        await simulation.submit(job_spec("wk-000001", 12))
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -13,9 +13,9 @@
 import pytest
 
 from petrelthread.leadership import Role
-from tests.scenario import run
+from tests.scenario import run_scenario
 from tests.simulated_network import DeliveryRule
-from tests.simulation import NODES, Simulation, job
+from tests.simulation import NODES, Simulation, job_spec
 
 CANCELLED_JOB = "wk-000001"
 # After the cancellation: a response timeout of 2 s, two heartbeats, scheduling rounds.
@@ -71,7 +71,7 @@
     number = 100
     while now() < until:
         number += 1
-        await simulation.submit(job(f"wk-{number:06d}", 4, team=("red", "blue")[number % 2]))
+        await simulation.submit(job_spec(f"wk-{number:06d}", 4, team=("red", "blue")[number % 2]))
         await asyncio.sleep(4.0)
 
 
@@ -91,7 +91,7 @@
     async def scenario(simulation: Simulation) -> None:
         delayed = DelayedStarts(simulation, simulation.random.uniform(45.0, 300.0))
         leader = await simulation.wait_for_leader()
-        await simulation.submit(job(CANCELLED_JOB, 2))
+        await simulation.submit(job_spec(CANCELLED_JOB, 2))
         await delayed.wait_until_sent()
         await cancel_at_a_follower(simulation, leader)
         submitting = asyncio.ensure_future(
@@ -102,7 +102,7 @@
         assert not live_attempt_count(simulation)  # capacity and the team's quota are free again
         await submitting
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 # ---- together with other faults ------------------------------------------------------------------
@@ -209,7 +209,7 @@
         delay_s = math.exp(simulation.random.uniform(math.log(0.005), math.log(300.0)))
         delayed = DelayedStarts(simulation, max(delay_s, simulation.random.choice((0.0, 45.0))))
         leader = await simulation.wait_for_leader()
-        await simulation.submit(job(CANCELLED_JOB, 3))
+        await simulation.submit(job_spec(CANCELLED_JOB, 3))
         await delayed.wait_until_sent()
         await asyncio.sleep(simulation.random.uniform(0.0, 2.2))
         await cancel_at_a_follower(simulation, leader)
@@ -220,7 +220,7 @@
         await fault(simulation, delayed, leader)
         await submitting
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 @pytest.mark.parametrize("delay_s", [38.0, 50.0, 65.0])
@@ -233,7 +233,7 @@
     async def scenario(simulation: Simulation) -> None:
         delayed = DelayedStarts(simulation, delay_s)
         leader = await simulation.wait_for_leader()
-        await simulation.submit(job(CANCELLED_JOB, 2))
+        await simulation.submit(job_spec(CANCELLED_JOB, 2))
         await delayed.wait_until_sent()
         submitting = asyncio.ensure_future(
             keep_machines_in_use(simulation, delayed.arrived_at + 5.0)
@@ -252,12 +252,12 @@
         delayed.others = lambda *request: (0.0, False)
         await submitting
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_raised_token_is_stored_before_use_and_the_next_epoch_is_higher() -> None:
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000002", 2))
+        await simulation.submit(job_spec("wk-000002", 2))
         await simulation.wait_until_running(2)
         leader = await simulation.wait_for_leader()
         node = simulation.nodes[leader]
@@ -283,9 +283,9 @@
         simulation.crash(leader)
         successor = simulation.nodes[await simulation.wait_for_leader()].election
         assert successor.epoch > before + 1
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("late_s", [0.0, 2.0, 7.0])
@@ -293,7 +293,7 @@
     """Peers may read the token before the leader does, which must not depose the leader."""
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000002", 2))
+        await simulation.submit(job_spec("wk-000002", 2))
         leader = await simulation.wait_for_leader()
         election = simulation.nodes[leader].election
         lost = 0
@@ -317,9 +317,9 @@
         assert election.role is Role.LEADING
         assert simulation.leader == leader
         assert election.fencing_token == before + 1
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("raised_after_s", [0.0, 0.0005])
@@ -340,10 +340,10 @@
                 return 1.5, False  # longer than raising the token and a heartbeat take
             return 0.0, False
 
-        await simulation.submit(job("wk-000002", 4, estimated_run_s=30.0))
+        await simulation.submit(job_spec("wk-000002", 4, estimated_run_s=30.0))
         await simulation.wait_until_running(4)
         simulation.network.delivery_rule = delivery
-        await simulation.submit(job("wk-000003", 2, estimated_run_s=30.0))
+        await simulation.submit(job_spec("wk-000003", 2, estimated_run_s=30.0))
         while not refused:
             await asyncio.sleep(0.01)
         await asyncio.sleep(raised_after_s)
@@ -354,9 +354,9 @@
             await asyncio.sleep(0.1)
             assert now() < sent_at + 2.75  # 1.5 s delay, 1 s to fetch the image
         assert not node.fleet.unacknowledged_starts.count()
-        await simulation.wait_until_over(90.0)
+        await simulation.wait_until_jobs_final(90.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_unanswered_commands_raise_the_token_at_most_once_per_interval() -> None:
@@ -370,12 +370,14 @@
         def all_lost(source: str, address: str, method: str, target: str, body: Any) -> Any:
             return None if target == "/do" and body["orders"] else (0.0, False)
 
-        await simulation.submit(job("wk-000002", 1))
+        await simulation.submit(job_spec("wk-000002", 1))
         await simulation.wait_until_running(1)
         delayed.others = all_lost
         before, since = node.election.fencing_token, now()
         for n in range(200, 230):
-            await simulation.submit(job(f"wk-{n:06d}", 3, team=("red", "blue", "guest")[n % 3]))
+            await simulation.submit(
+                job_spec(f"wk-{n:06d}", 3, team=("red", "blue", "guest")[n % 3])
+            )
             await asyncio.sleep(simulation.random.uniform(0.2, 2.0))
             await simulation.try_to_cancel(f"wk-{n:06d}", leader)
             await asyncio.sleep(simulation.random.uniform(0.2, 2.0))
@@ -384,16 +386,16 @@
         assert simulation.leader == leader
         assert 2 <= raises <= (now() - since) / gap_s + 1
         delayed.others = lambda *request: (0.0, False)
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_leader_does_not_step_down_when_peers_report_its_own_raised_token() -> None:
     """For 2 s the leader gets no response to its write or its watch, while peers read the token."""
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000002", 2))
+        await simulation.submit(job_spec("wk-000002", 2))
         leader = await simulation.wait_for_leader()
         election = simulation.nodes[leader].election
         raised_at = now()
@@ -408,6 +410,6 @@
         assert now() > raised_at + 1.5
         assert election.highest_known_epoch == election.fencing_token == before + 1
         assert election.role is Role.LEADING
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_lost_transactions.py
+++ b/tests/test_lost_transactions.py
@@ -8,9 +8,15 @@
 import pytest
 
 from petrelthread.leadership import Role
-from tests.scenario import cancel_at, lose_transaction_responses, now, query_all_controllers, run
-from tests.simulation import NODES, Simulation, job
-from tests.virtual import play
+from tests.scenario import (
+    lose_transaction_responses,
+    now,
+    query_and_resubmit_on_all_controllers,
+    run_scenario,
+    try_to_cancel_at,
+)
+from tests.simulation import NODES, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 def delay_or_lose_transactions(simulation: Simulation, fault: str) -> None:
@@ -44,18 +50,18 @@
     """Submit a job, cancel every third one, and query all controllers until its final status."""
     job_id = f"wk-{number:06d}"
     await asyncio.sleep(number * 1.5)
-    spec = job(job_id, 1 + number % 3, team=("red", "blue", "guest")[number % 3])
+    spec = job_spec(job_id, 1 + number % 3, team=("red", "blue", "guest")[number % 3])
     await simulation.submit(spec)
-    await query_all_controllers(simulation, job_id)
+    await query_and_resubmit_on_all_controllers(simulation, job_id)
     if number % 3 == 0:
         await asyncio.sleep(simulation.random.choice([0.0, 2.0, 6.0]))
         await simulation.cancel(job_id)
-        await query_all_controllers(simulation, job_id)
+        await query_and_resubmit_on_all_controllers(simulation, job_id)
     for _ in range(40):
         await asyncio.sleep(0.5)
-        await query_all_controllers(simulation, job_id)
+        await query_and_resubmit_on_all_controllers(simulation, job_id)
         if simulation.checker.statuses.get(job_id) in ("done", "aborted"):
-            await query_all_controllers(simulation, job_id)
+            await query_and_resubmit_on_all_controllers(simulation, job_id)
             return
 
 
@@ -79,9 +85,9 @@
         await asyncio.gather(*users)
         simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(150.0)
+        await simulation.wait_until_jobs_final(150.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -95,11 +101,11 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        simulation.spread_s = 6.0
+        simulation.run_time_spread_s = 6.0
         simulation.network.delivery_rule = lose_transaction_responses(simulation, 0.35, late)
         for n in range(6):
             await simulation.submit(
-                job(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
+                job_spec(f"wk-{n:06d}", 6, team=("red", "blue")[n % 2], estimated_run_s=10.0)
             )
         await simulation.wait_until_running(2)
         for n in range(5):
@@ -109,13 +115,15 @@
                 simulation.crash(leader)
                 await asyncio.sleep(simulation.random.choice([0.05, 0.4, 3.0]))
                 simulation.boot(leader)
-            await cancel_at(simulation, f"wk-{n:06d}", list(simulation.nodes)) if n % 2 else None
+            await try_to_cancel_at(
+                simulation, f"wk-{n:06d}", list(simulation.nodes)
+            ) if n % 2 else None
             await simulation.poll()
         simulation.network.delivery_rule = None
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 @pytest.mark.parametrize("late_s", [0.0, 3.0])
@@ -134,15 +142,15 @@
             return (late_s, True) if is_round_claim and source == first else (0.0, False)
 
         simulation.network.delivery_rule = delivery
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=15.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=15.0))
         await asyncio.sleep(9.0)
         simulation.crash(first)
         await simulation.wait_for_leader()
         simulation.boot(first)
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_late_transactions_of_a_former_leader_violate_no_invariant() -> None:
@@ -152,7 +160,7 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 8))
+        await simulation.submit(job_spec("wk-000001", 8))
         await simulation.wait_until_running(2)
         old = await simulation.wait_for_leader()
 
@@ -164,9 +172,9 @@
         simulation.network.delivery_rule = delivery
         await asyncio.sleep(10.0)
         simulation.network.delivery_rule = None
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("role", [Role.LEADING, Role.LEASE_GRACE])
@@ -175,7 +183,7 @@
 
     async def main() -> None:
         simulation = Simulation()
-        await simulation.submit(job("wk-000001", 2))
+        await simulation.submit(job_spec("wk-000001", 2))
         await asyncio.sleep(1.0)
         node = simulation.nodes[await simulation.wait_for_leader()]
         node.election.role = role
@@ -185,17 +193,17 @@
         assert node.cluster_state.jobs_by_id["wk-000001"].pending_count == 2
         assert number in node.cluster_state.settled_rounds()
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 def test_every_start_and_scale_out_has_a_record() -> None:
     """Records are written before commands and cloud calls; both sets are compared afterwards."""
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 6))
-        await simulation.wait_until_over(60.0)
+        await simulation.submit(job_spec("wk-000001", 6))
+        await simulation.wait_until_jobs_final(60.0)
 
-    simulation = run(scenario)
+    simulation = run_scenario(scenario)
     recorded = {
         f"{job_id}/{task}"
         for key, value in simulation.state_service.puts
@@ -215,10 +223,10 @@
     """Repeated submissions and late polls get the final status after other records are deleted."""
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000001", 2))
-        await simulation.submit(job("wk-000002", 2, team="blue"))
+        await simulation.submit(job_spec("wk-000001", 2))
+        await simulation.submit(job_spec("wk-000002", 2, team="blue"))
         await simulation.cancel("wk-000002")
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
         for name in NODES:
             simulation.crash(name)
             simulation.boot(name)
@@ -230,7 +238,7 @@
             assert (status, response["status"]) == (200, final)
         assert (await simulation.ask("n2", "GET", "/v2/runs/wk-999999"))[0] == 404
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_finished_tasks_recorded_by_another_leader_count_once() -> None:
@@ -241,7 +249,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 15.0
-        await simulation.submit(job("wk-000001", 4, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 4, estimated_run_s=60.0))
         await simulation.wait_until_running(2)
         node = simulation.nodes[await simulation.wait_for_leader()]
         found = node.cluster_state.jobs_by_id["wk-000001"]
@@ -251,6 +259,6 @@
         node.scheduler.wake.set()
         await asyncio.sleep(1.0)
         assert found.final_status is None
-        await simulation.wait_until_over(90.0)
+        await simulation.wait_until_jobs_final(90.0)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_operator_views.py
+++ b/tests/test_operator_views.py
@@ -8,14 +8,14 @@
 
 from petrelthread.admin.alerts import AlertTracker
 from petrelthread.admin.api import DIRECT_QUERY
-from tests.scenario import run
-from tests.simulation import Simulation, job
+from tests.scenario import run_scenario
+from tests.simulation import Simulation, job_spec
 
 
 def test_controller_refused_by_the_state_service_reports_it_and_is_not_ready() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 10.0
-        await simulation.submit(job("wk-000001", 12, estimated_run_s=10.0))
+        await simulation.submit(job_spec("wk-000001", 12, estimated_run_s=10.0))
         await simulation.wait_until_running(4)
         refused = next(name for name in simulation.nodes if name != simulation.leader)
         simulation.state_service.refused_controllers.add(refused)
@@ -23,15 +23,17 @@
         assert (await simulation.ask(refused, "GET", "/ready"))[0] == 503
         _, status = await simulation.ask_admin(refused, f"status?{DIRECT_QUERY}")
         assert any("state service" in t["trouble"] for t in status["troubles"]), status["troubles"]
-        assert (await simulation.ask(refused, "POST", "/v2/runs", job("wk-000002", 1)))[0] == 503
+        assert (await simulation.ask(refused, "POST", "/v2/runs", job_spec("wk-000002", 1)))[
+            0
+        ] == 503
         other = next(name for name in simulation.nodes if name != refused)
         assert (await simulation.ask(other, "GET", "/v2/runs/wk-000001"))[0] == 200
         simulation.state_service.refused_controllers.clear()
         await asyncio.sleep(3.0)
         assert (await simulation.ask(refused, "GET", "/ready"))[0] == 200
-        await simulation.wait_until_over(60.0)
+        await simulation.wait_until_jobs_final(60.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_lasting_alert_is_logged_when_it_begins_and_when_it_ends(
--- a/tests/test_partitions.py
+++ b/tests/test_partitions.py
@@ -7,8 +7,8 @@
 import pytest
 
 from petrelthread.emulator.worker import Worker
-from tests.scenario import now, other_controllers, run
-from tests.simulation import NODES, Simulation, job
+from tests.scenario import now, other_controllers, run_scenario
+from tests.simulation import NODES, Simulation, job_spec
 
 
 @pytest.mark.parametrize("change", ["crash", "alone"])
@@ -26,7 +26,7 @@
         simulation.run_s = 60.0
         for n in range(2):
             await simulation.submit(
-                job(f"wk-{n:06d}", 3, team="guest", cores=1.0, estimated_run_s=60.0)
+                job_spec(f"wk-{n:06d}", 3, team="guest", cores=1.0, estimated_run_s=60.0)
             )
         await simulation.wait_until_running(6)
         await asyncio.sleep(6.0)
@@ -46,7 +46,7 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(after_s)
         for n in range(2, 5):
-            spec = job(f"wk-{n:06d}", 2, team="guest", cores=1.0, estimated_run_s=60.0)
+            spec = job_spec(f"wk-{n:06d}", 2, team="guest", cores=1.0, estimated_run_s=60.0)
             await simulation.submit(spec, nodes=other_controllers(leader))
             await asyncio.sleep(1.0)
         for _ in range(40):
@@ -57,9 +57,9 @@
         simulation.network.partitions.clear()
         simulation.network.not_sending.clear()
         simulation.checker.faults_ended_at = now()
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def recorded_start_count(simulation: Simulation, machine: str) -> int:
@@ -78,7 +78,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 8.0
-        await simulation.submit(job("wk-000001", 30, estimated_run_s=30.0))
+        await simulation.submit(job_spec("wk-000001", 30, estimated_run_s=30.0))
         await simulation.wait_until_running(6)
         unreachable = next(iter(simulation.cloud.machines))
         worker: Worker = simulation.cloud.machines[unreachable].worker
@@ -89,15 +89,15 @@
             await asyncio.sleep(0.5)
             assert now() < 160.0, "the machine was not returned"
         assert recorded_start_count(simulation, unreachable) <= starts_before + 2
-        await simulation.wait_until_over(150.0)
+        await simulation.wait_until_jobs_final(150.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_machine_is_used_again_after_a_short_asymmetric_partition() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 4.0
-        await simulation.submit(job("wk-000001", 60, estimated_run_s=30.0))
+        await simulation.submit(job_spec("wk-000001", 60, estimated_run_s=30.0))
         await simulation.wait_until_running(6)
         unreachable = next(iter(simulation.cloud.machines))
         worker: Worker = simulation.cloud.machines[unreachable].worker
@@ -108,9 +108,9 @@
         await asyncio.sleep(25.0)
         assert not worker.terminated
         assert recorded_start_count(simulation, unreachable) > before + 4
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_new_leader_returns_a_machine_that_receives_nothing() -> None:
@@ -118,7 +118,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 30.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
         worker = simulation.worker_running(task_ids[0])
         await asyncio.sleep(3.0)
@@ -126,9 +126,9 @@
         simulation.crash(await simulation.wait_for_leader())
         await asyncio.sleep(30.0)
         assert worker.terminated
-        await simulation.wait_until_over(150.0)
+        await simulation.wait_until_jobs_final(150.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_partitioned_machine_delays_only_its_own_tasks() -> None:
@@ -136,25 +136,25 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 12.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
         partitioned_worker = simulation.worker_running(task_ids[0])
         simulation.network.partitions |= {frozenset((partitioned_worker.name, n)) for n in NODES}
-        await simulation.submit(job("wk-000002", 2, team="blue"))
-        await simulation.wait_until_over(120.0)
+        await simulation.submit(job_spec("wk-000002", 2, team="blue"))
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_jobs_complete_after_a_machine_hangs_for_5_s() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 12.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         task_ids = await simulation.wait_until_running(6)
         worker = simulation.worker_running(task_ids[0])
         worker.hanging = True
         await asyncio.sleep(5.0)
         worker.hanging = False
-        await simulation.wait_until_over(120.0)
+        await simulation.wait_until_jobs_final(120.0)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.scenario import run
-from tests.simulation import Simulation, job
+from tests.scenario import run_scenario
+from tests.simulation import Simulation, job_spec
 
 
 @pytest.mark.parametrize("for_s", [2.5, 6.0, 13.0, 35.0])
@@ -19,8 +19,8 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 20.0
-        await simulation.submit(job("wk-000001", 12, estimated_run_s=20.0))
-        await simulation.submit(job("wk-000002", 12, team="blue", estimated_run_s=20.0))
+        await simulation.submit(job_spec("wk-000001", 12, estimated_run_s=20.0))
+        await simulation.submit(job_spec("wk-000002", 12, team="blue", estimated_run_s=20.0))
         await simulation.wait_until_running(8)
         rented = simulation.cloud.rented_count
         old = await simulation.wait_for_leader()
@@ -40,10 +40,10 @@
         if for_s > 10.0:
             _, job_view = await simulation.ask_admin(old, "jobs/wk-000002")
             assert job_view["status"] == "aborted"
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
         assert simulation.cloud.rented_count <= rented + 6  # its machines were not all replaced
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_leader_that_still_leads_after_a_pause_returns_no_machine() -> None:
@@ -51,7 +51,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 6, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 6, estimated_run_s=60.0))
         machines = {
             simulation.worker_running(task_id).name
             for task_id in await simulation.wait_until_running(6)
@@ -62,6 +62,6 @@
         simulation.state_service.set_outage(False)
         await asyncio.sleep(8.0)
         assert machines <= set(simulation.cloud.machines)
-        await simulation.wait_until_over(200.0)
+        await simulation.wait_until_jobs_final(200.0)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -12,8 +12,8 @@
 
 from petrelthread.admin.explain import explain_waiting
 from petrelthread.fleet import Health
-from tests.scenario import run
-from tests.simulation import NODES, SMALL, Simulation, job
+from tests.scenario import run_scenario
+from tests.simulation import NODES, SMALL, Simulation, job_spec
 
 
 def now() -> float:
@@ -31,7 +31,7 @@
         "ram_gb": 1.0,
         "deadline_s": None,
     }
-    return job(job_id, replicas, **(defaults | attributes))
+    return job_spec(job_id, replicas, **(defaults | attributes))
 
 
 def replicas_not_running(simulation: Simulation) -> list[str]:
@@ -68,13 +68,13 @@
     assert not [
         task_id for task_id in left if task_id.rpartition("/")[0] in simulation.checker.cancelled_at
     ]
-    await simulation.wait_until_over(60.0)
+    await simulation.wait_until_jobs_final(60.0)
 
 
 def test_replicas_run_until_their_job_is_cancelled() -> None:
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(service("wk-000001", 3))
-        await simulation.submit(job("wk-000002", 8, team="blue"))
+        await simulation.submit(job_spec("wk-000002", 8, team="blue"))
         await wait_for_all_replicas(simulation, 20.0)
         await asyncio.sleep(60.0)
         assert not replicas_not_running(simulation)
@@ -90,7 +90,7 @@
         )
         await cancel_services(simulation)
 
-    simulation = run(scenario)
+    simulation = run_scenario(scenario)
     assert simulation.checker.start_count == 3 + 8
 
 
@@ -108,7 +108,7 @@
         await wait_for_all_replicas(simulation, 30.0)
         await cancel_services(simulation)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 LOSSES: dict[str, Callable[[Simulation, Any, str], None]] = {
@@ -133,7 +133,7 @@
 
     async def scenario(simulation: Simulation) -> None:
         await simulation.submit(service("wk-000001", 4))
-        await simulation.submit(job("wk-000002", 30, team="blue", estimated_run_s=5.0))
+        await simulation.submit(job_spec("wk-000002", 30, team="blue", estimated_run_s=5.0))
         await wait_for_all_replicas(simulation, 20.0)
         await asyncio.sleep(10.0)
         task_id = "wk-000001/0"
@@ -163,7 +163,7 @@
         assert not replicas_not_running(simulation)
         await cancel_services(simulation)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_a_lost_replica_preempts_batch_tasks_when_no_machine_is_free() -> None:
@@ -175,7 +175,7 @@
         await wait_for_all_replicas(simulation, 20.0)
         for n in (2, 3):
             team = "blue" if n == 2 else "guest"
-            await simulation.submit(job(f"wk-{n:06d}", 40, team=team, estimated_run_s=40.0))
+            await simulation.submit(job_spec(f"wk-{n:06d}", 40, team=team, estimated_run_s=40.0))
         await asyncio.sleep(20.0)
         on_demand = [m for m in simulation.cloud.machines.values() if not m.description.spot]
         # The cloud has no more; batch tasks use the cores that replicas leave free.
@@ -188,7 +188,7 @@
             await simulation.cancel(f"wk-{n:06d}")
         await cancel_services(simulation)
 
-    run(scenario, deployment=replace(SMALL, on_demand=3))
+    run_scenario(scenario, deployment=replace(SMALL, on_demand=3))
 
 
 def test_replicas_are_spread_over_machines_and_zones() -> None:
@@ -198,7 +198,7 @@
     """
 
     async def scenario(simulation: Simulation) -> None:
-        await simulation.submit(job("wk-000002", 4, team="blue"))
+        await simulation.submit(job_spec("wk-000002", 4, team="blue"))
         await simulation.submit(service("wk-000001", 4, spread_zones=True))
         await wait_for_all_replicas(simulation, 30.0)
         zones: dict[str, int] = {}
@@ -213,7 +213,7 @@
         assert len({simulation.worker_running(f"wk-000004/{n}").name for n in range(3)}) > 1
         await cancel_services(simulation)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_replicas_that_fail_on_a_faulty_machine_restart_without_job_backoff() -> None:
@@ -240,7 +240,7 @@
         assert await wait_for_all_replicas(simulation, 30.0) < 6.0
         await cancel_services(simulation)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -253,7 +253,7 @@
         for n in range(3):
             team = ("red", "blue", "guest")[n]
             await simulation.submit(service(f"wk-{n:06d}", 3, team=team, spread_zones=n == 1))
-            await simulation.submit(job(f"wk-{n + 10:06d}", 12, team=team))
+            await simulation.submit(job_spec(f"wk-{n + 10:06d}", 12, team=team))
         await wait_for_all_replicas(simulation, 40.0)
         faults = []
         for _ in range(7):
@@ -270,7 +270,7 @@
         await wait_for_all_replicas(simulation, 30.0)
         await cancel_services(simulation)
 
-    run(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 def test_explain_names_the_machine_that_may_still_run_a_replica() -> None:
@@ -301,7 +301,7 @@
         await wait_for_all_replicas(simulation, 20.0)
         await cancel_services(simulation)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_a_leader_partitioned_from_all_workers_is_replaced_and_terminates_no_machine() -> None:
@@ -312,7 +312,9 @@
         for n in range(3):
             team = ("red", "blue", "guest")[n]
             await simulation.submit(service(f"wk-{n:06d}", 4, team=team))
-            await simulation.submit(job(f"wk-{n + 10:06d}", 4, team=team, estimated_run_s=30.0))
+            await simulation.submit(
+                job_spec(f"wk-{n + 10:06d}", 4, team=team, estimated_run_s=30.0)
+            )
         await wait_for_all_replicas(simulation, 30.0)
         await asyncio.sleep(5.0)
         started_at = {
@@ -332,4 +334,4 @@
         await wait_for_all_replicas(simulation, 20.0)
         await cancel_services(simulation)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/test_watch_cache.py
+++ b/tests/test_watch_cache.py
@@ -11,7 +11,7 @@
 
 from petrelthread.http import ClientResponse
 from petrelthread.store import StateClient, StateResultUnknownError, TokenBucket, WatchCache
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 
 def test_a_reload_does_not_undo_changes_that_a_concurrent_watch_showed() -> None:
@@ -54,7 +54,7 @@
         assert watch_cache.revision == 8
         assert began + 0.1 < watch_cache.current_as_of < began + 0.5  # not when the pages arrive
 
-    play(main())
+    run_in_virtual_time(main())
 
 
 @pytest.mark.parametrize("fault", ["empty page", "same page again"])
@@ -81,4 +81,4 @@
         assert not changed_keys
         assert not watch_cache.loaded.is_set()
 
-    play(main())
+    run_in_virtual_time(main())
--- a/tests/virtual.py
+++ b/tests/virtual_time.py
@@ -105,7 +105,7 @@
         return run
 
 
-def play(main: Coroutine[Any, Any, Any]) -> Any:
+def run_in_virtual_time(main: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine to its end in virtual time, and return its result."""
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
