--- a/tests/test_fleet.py
+++ b/tests/test_large_deployments.py
@@ -13,7 +13,7 @@
 import pytest
 
 from petrelthread.fleet import Machine
-from tests.fleet import MACHINE_COUNT, ONE_ZONE, THREE_ZONES, Load
+from tests.large_deployments import MACHINE_COUNT, ONE_ZONE, THREE_ZONES, Load
 from tests.simulation import Deployment, Simulation, job_spec
 from tests.virtual_time import run_in_virtual_time
 
