--- a/petrelthread/admin/test_admin.py
+++ b/petrelthread/admin/test_admin.py
@@ -10,13 +10,13 @@
 
 from petrelthread.cli import main
 from petrelthread.http import ClientResponse
-from tests.simulation import NODES, Simulation, job
-from tests.virtual import play
+from tests.simulation import NODES, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 
 async def admin(simulation: Simulation, node: str, method: str, path: str, body: Any = None) -> Any:
     addr = f"{node}:2"
-    request = simulation.net.requester("operator")
+    request = simulation.network.requester("operator")
     response: ClientResponse = await request(addr, method, f"/admin/v1/{path}", body, timeout=5.0)
     return response.status, orjson.loads(response.body)
 
@@ -24,7 +24,7 @@
 def test_views_explain_a_waiting_job_and_show_an_unreachable_zone() -> None:
     async def scenario() -> None:
         simulation = Simulation()
-        await simulation.submit(job("wk-000001", 20, estimated_run_s=60.0))
+        await simulation.submit(job_spec("wk-000001", 20, estimated_run_s=60.0))
         await asyncio.sleep(2.0)
         _, response = await admin(simulation, "n1", "GET", "jobs/wk-000001")
         assert "booting" in response["why"]
@@ -37,7 +37,7 @@
         assert response["leader"] == await simulation.wait_for_leader()
         assert response["backlog"]["batch"]["jobs"] == 1
         assert sum(t["cores"] for t in response["teams"]) == 12.0
-        simulation.net.partitions |= {
+        simulation.network.partitions |= {
             frozenset((m, n)) for m in simulation.cloud.machines for n in NODES
         }
         zone_texts: set[str] = set()
@@ -47,7 +47,7 @@
             zone_texts |= {z["says"] for z in response["zones"]}
         assert any(says.startswith("DOWN") for says in zone_texts)
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_settings_are_validated_versioned_and_applied_on_all_controllers() -> None:
@@ -77,7 +77,7 @@
         await asyncio.sleep(1.0)
         assert simulation.nodes["n2"].provisioning_options.spot_idle_s != 7.0
 
-    play(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_command_line_errors_go_to_stderr_and_set_the_exit_code(
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -22,11 +22,11 @@
 from petrelthread.emulator.invariant_checker import InvariantChecker
 from petrelthread.emulator.state_service import StateService
 from petrelthread.emulator.worker import Worker
-from petrelthread.emulator.workload import job_spec
+from petrelthread.emulator.workload import job_spec as job_spec
 from petrelthread.http import NoResponseError
 from petrelthread.settings import Settings, parse
 from tests.simulated_network import SimulatedNetwork
-from tests.virtual import PROCESS, VirtualLoop
+from tests.virtual_time import PROCESS, VirtualLoop
 
 SETTINGS = """
 host_name = "{name}"
@@ -127,9 +127,6 @@
     return SMALL.settings_of(name)
 
 
-job = job_spec
-
-
 class Simulation:
     """The controllers, workers, cloud, state service and invariant checker of one scenario."""
 
@@ -141,17 +138,17 @@
         self.random = random.Random(seed)
         self.run_s = 5.0
         self.run_s_by_job: dict[str, float] = {}  # by job id; others run for run_s
-        self.spread_s = 0.0  # range of run times within a job
+        self.run_time_spread_s = 0.0  # range of run times within a job
         self.boot_delay_s = 0.0  # extra boot time of machines rented from now on
         self.failing_jobs: set[str] = set()  # jobs whose tasks fail on every machine
         self.failing_tasks: set[str] = set()  # tasks that fail on every machine
         self.jobs: dict[str, dict[str, Any]] = {}
         self.checker = InvariantChecker(self)
-        self.net = SimulatedNetwork(self)
+        self.network = SimulatedNetwork(self)
         self.state_service = StateService(cluster.state.txn_ops, self.checker.record_put)
         self.cloud = Cloud(self)
-        self.net.hosts["state:1"] = self.state_service.handle
-        self.net.hosts["cloud:1"] = self.cloud.handle
+        self.network.hosts["state:1"] = self.state_service.handle
+        self.network.hosts["cloud:1"] = self.cloud.handle
         self.nodes: dict[str, Controller] = {}
         self._controller_tasks: dict[str, asyncio.Task[None]] = {}
         self._background_tasks = BackgroundTasks()
@@ -171,13 +168,15 @@
         job_id, _, task = task_id.rpartition("/")
         if self.jobs[job_id]["shape"] == "service":
             return math.inf
-        extra_s = int(task) * 0.37 % 1.0 * self.spread_s
+        extra_s = int(task) * 0.37 % 1.0 * self.run_time_spread_s
         return self.run_s_by_job.get(job_id, self.run_s) + extra_s
 
     # ---- controllers -------------------------------------------------------------------------
 
     def boot(self, name: str) -> None:
-        node = Controller(self.deployment.settings_of(name), self.net.requester(name), self.random)
+        node = Controller(
+            self.deployment.settings_of(name), self.network.requester(name), self.random
+        )
         self.nodes[name] = node
         context = contextvars.copy_context()
         context.run(PROCESS.set, name)
@@ -192,13 +191,13 @@
             response = await node.handle_peer(method, target, orjson.dumps(body))
             return response.status, orjson.loads(response.body)
 
-        self.net.hosts[f"{name}:1"] = public
-        self.net.hosts[f"{name}:2"] = peer
+        self.network.hosts[f"{name}:1"] = public
+        self.network.hosts[f"{name}:2"] = peer
 
     def crash(self, name: str) -> None:
         self._controller_tasks.pop(name).cancel()
         self.nodes.pop(name)
-        del self.net.hosts[f"{name}:1"], self.net.hosts[f"{name}:2"]
+        del self.network.hosts[f"{name}:1"], self.network.hosts[f"{name}:2"]
 
     @property
     def loop(self) -> VirtualLoop:
@@ -224,11 +223,13 @@
     # ---- users ---------------------------------------------------------------------------------
 
     async def ask(self, node: str, method: str, target: str, body: Any = None) -> tuple[int, Any]:
-        response = await self.net.requester("user")(f"{node}:1", method, target, body, timeout=5.0)
+        response = await self.network.requester("user")(
+            f"{node}:1", method, target, body, timeout=5.0
+        )
         return response.status, orjson.loads(response.body)
 
     async def ask_admin(self, node: str, path: str) -> tuple[int, Any]:
-        request = self.net.requester("operator")
+        request = self.network.requester("operator")
         response = await request(f"{node}:2", "GET", f"/admin/v1/{path}", timeout=5.0)
         return response.status, orjson.loads(response.body)
 
@@ -281,7 +282,7 @@
         self.checker.check_answers()
         self.checker.check_waiting_jobs()
 
-    async def wait_until_over(self, within_s: float) -> None:
+    async def wait_until_jobs_final(self, within_s: float) -> None:
         """Query every job on every controller until all jobs have a final status."""
         end = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < end:
--- a/tests/test_fleet.py
+++ b/tests/test_large_deployments.py
@@ -13,9 +13,9 @@
 import pytest
 
 from petrelthread.fleet import Machine
-from tests.fleet import MACHINE_COUNT, ONE_ZONE, THREE_ZONES, Load
-from tests.simulation import Deployment, Simulation, job
-from tests.virtual import play
+from tests.large_deployments import MACHINE_COUNT, ONE_ZONE, THREE_ZONES, Load
+from tests.simulation import Deployment, Simulation, job_spec
+from tests.virtual_time import run_in_virtual_time
 
 Scenario = Callable[[Simulation, Load], Awaitable[None]]
 MAX_SETTLE_S = 20.0  # until a new leader has heartbeats of all machines that can reach it
@@ -59,7 +59,7 @@
         load = Load(simulation)
         await fill_machines(simulation, load)
         await scenario(simulation, load)
-        await simulation.wait_until_over(400.0)
+        await simulation.wait_until_jobs_final(400.0)
         simulation.checker.faults_ended_at = now()
         await simulation.poll()
         assert not simulation.checker.violations, simulation.checker.violations
@@ -75,7 +75,7 @@
         assert not late, late
         return simulation
 
-    result: Simulation = play(main())
+    result: Simulation = run_in_virtual_time(main())
     return result
 
 
@@ -135,7 +135,7 @@
         } - inside
         pairs = [(a, b) for a in inside for b in outside if not a[:5] == b[:5] == "host-"]
         partitioned_pairs = {frozenset(pair) for pair in pairs}
-        simulation.net.partitions |= partitioned_pairs
+        simulation.network.partitions |= partitioned_pairs
         await asyncio.sleep(5.0)
         await wait_until_settled(simulation, frozenset(inside))
         await asyncio.sleep(simulation.workers.lease_s + 5.0)
@@ -152,7 +152,7 @@
         path = f"/admin/v1/jobs/{waiting.id}"
         explanation = orjson.loads((await leader.handle_peer("GET", path, b"")).body)["why"]
         assert f"{waiting.pending_count} waiting" in explanation, explanation
-        simulation.net.partitions -= partitioned_pairs
+        simulation.network.partitions -= partitioned_pairs
         await asyncio.sleep(10.0)
 
     run(scenario, THREE_ZONES)
@@ -176,9 +176,9 @@
             *simulation.cloud.machines,
         } - {old}
         partitioned_pairs = {frozenset((old, other)) for other in others}
-        simulation.net.partitions |= partitioned_pairs
+        simulation.network.partitions |= partitioned_pairs
         await asyncio.sleep(simulation.workers.lease_s + 6.0)
-        simulation.net.partitions -= partitioned_pairs
+        simulation.network.partitions -= partitioned_pairs
         await wait_until_settled(simulation)
         assert simulation.leader is not None
         assert simulation.leader != old
@@ -190,7 +190,7 @@
     async def scenario() -> None:
         simulation = Simulation(1)
         simulation.run_s = 60.0
-        await simulation.submit(job("wk-000001", 12))
+        await simulation.submit(job_spec("wk-000001", 12))
         await simulation.wait_until_running(6)
         leader = simulation.nodes[await simulation.wait_for_leader()]
         examined: list[int] = []
@@ -207,4 +207,4 @@
         assert len(set(examined)) == 1
         assert len(examined) <= 6
 
-    play(scenario())
+    run_in_virtual_time(scenario())
