--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -195,7 +195,7 @@
             sent.starts.on_lease_renewed(sent.machine.index, EPOCH, AT + after_s)
             sent.starts.expire_leases(AT + after_s)
     assert sent.starts.past_deadline_count == 1
-    assert caplog.text.count("is possible") == 1
+    assert caplog.text.count("can still be executed") == 1
 
 
 def test_start_key_contains_job_task_and_attempt_number(sent: SentStart) -> None:
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -318,7 +318,8 @@
             start.overdue_reported = True
             self.past_deadline_count += 1
             log.error(
-                "%s, sent %.1f s ago with token %d, is possible %.1f s after its job ended",
+                "%s, sent %.1f s ago with token %d, can still be executed %.1f s "
+                "after its job ended",
                 start,
                 now - start.sent_at,
                 start.fencing_token,
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -140,7 +140,7 @@
         if outcome is ClaimOutcome.CONFLICT:
             # Either a job was cancelled while the claim was in flight, or an earlier claim of this
             # leader was committed without a response. Only the state service knows which.
-            log.info("claim rejected; keys with failed conditions: %s", ", ".join(failed_keys))
+            log.info("claim not committed; keys with failed conditions: %s", ", ".join(failed_keys))
             return await self._refresh()
         self._applier.apply(claim, now)
         return claim.has_postponed or bool(self._fleet.finished_tasks)
