--- a/petrelthread/scheduling/cluster_view.py
+++ b/petrelthread/scheduling/cluster_view.py
@@ -158,7 +158,7 @@
             job.task_count * job.cores,
             job.task_count * job.accelerators,
             run_s,
-            self.estimates.tail_s(job),
+            self.estimates.longest_task_extra_s(job),
             min(unfinished * job.cores, self.teams[job.team].max_cores),
             remaining_s * job.cores,
             live > 0 or job.finished_count > 0,
--- a/petrelthread/scheduling/queue_entry.py
+++ b/petrelthread/scheduling/queue_entry.py
@@ -19,7 +19,7 @@
         requested_cores: cores of the whole job, finished tasks included.
         requested_accelerators: accelerators of the whole job, finished tasks included.
         run_s: estimated run time of one task.
-        tail_s: how much longer than ``run_s`` the longest of many tasks may take.
+        longest_task_extra_s: how much longer than ``run_s`` the longest of many tasks may take.
         parallel_cores: cores that it can use at the same time.
         remaining_core_s: core seconds of work left in all its tasks.
         started: whether any of its tasks is live or finished.
@@ -35,7 +35,7 @@
     requested_cores: float
     requested_accelerators: float
     run_s: float = 0.0
-    tail_s: float = 0.0
+    longest_task_extra_s: float = 0.0
     parallel_cores: float = 0.0
     remaining_core_s: float = 0.0
     started: bool = False
@@ -44,7 +44,7 @@
     @property
     def min_remaining_s(self) -> float:
         """Minimum time from now until the job is complete."""
-        return max(self.quota_limited_s, self.run_s) + self.tail_s
+        return max(self.quota_limited_s, self.run_s) + self.longest_task_extra_s
 
 
 class QueuedJob(NamedTuple):
--- a/petrelthread/scheduling/run_time_estimates.py
+++ b/petrelthread/scheduling/run_time_estimates.py
@@ -11,7 +11,7 @@
 MAX_COUNTED_OBSERVATIONS = 50  # caps the weight of earlier observations in an average
 PRIOR_WEIGHT = 2  # weight of the initial values, in observations
 # Standard deviations by which a job's longest task is expected to exceed the average run time.
-TAIL_DEVIATIONS = 1.5
+LONGEST_TASK_DEVIATIONS = 1.5
 MIN_RUN_S = 0.5  # lower bound of the expected run time
 
 
@@ -43,10 +43,10 @@
             return math.inf
         return max(MIN_RUN_S, job.estimated_run_s * self._ratio.get(job.job_class, 1.0))
 
-    def tail_s(self, job: Job) -> float:
+    def longest_task_extra_s(self, job: Job) -> float:
         """How much longer than expected a job's longest task may run; 0 for a single task."""
         if job.task_count <= 1:
             return 0.0
         variance = self._variance.get(job.job_class, DEFAULT_SPREAD**2)
-        tail_s = TAIL_DEVIATIONS * math.sqrt(variance) * job.estimated_run_s
-        return min(job.estimated_run_s, tail_s)
+        extra_s = LONGEST_TASK_DEVIATIONS * math.sqrt(variance) * job.estimated_run_s
+        return min(job.estimated_run_s, extra_s)
