--- a/petrelthread/fleet/command_planner.py
+++ b/petrelthread/fleet/command_planner.py
@@ -13,7 +13,7 @@
 from petrelthread import protocol
 from petrelthread.fleet.fleet import Fleet
 from petrelthread.fleet.machine import Machine
-from petrelthread.fleet.unacknowledged_starts import StartKey, key_of
+from petrelthread.fleet.unacknowledged_starts import StartKey, start_key_of
 from petrelthread.state import TASK_FINISHED, Attempt, Job, TaskKey, epoch_of
 
 
@@ -138,7 +138,9 @@
             if key in recorded or not self._may_be_started(attempt, heartbeat.incarnation):
                 continue
             if attempt.job.final_status is not None or attempt.stop_requested_at:
-                if not self._fleet.unacknowledged_starts.contains(machine.index, key_of(attempt)):
+                if not self._fleet.unacknowledged_starts.contains(
+                    machine.index, start_key_of(attempt)
+                ):
                     self._fleet.supersede(attempt, "never listed, no longer wanted")
                 continue
             commands.append(
--- a/petrelthread/fleet/task_reconciler.py
+++ b/petrelthread/fleet/task_reconciler.py
@@ -10,7 +10,7 @@
 from petrelthread.fleet.job_failures import JobFailures
 from petrelthread.fleet.machine import Machine
 from petrelthread.fleet.machine_registry import MachineRegistry
-from petrelthread.fleet.unacknowledged_starts import StartKey, UnacknowledgedStarts, key_of
+from petrelthread.fleet.unacknowledged_starts import StartKey, UnacknowledgedStarts, start_key_of
 from petrelthread.state import (
     TASK_PENDING,
     Attempt,
@@ -181,7 +181,7 @@
     def _reconcile_missing(self, machine: Machine, attempt: Attempt) -> None:
         """Supersede an attempt that the newest heartbeat does not list, if that proves its end."""
         if machine.commands_in_flight or self._unacknowledged_starts.contains(
-            machine.index, key_of(attempt)
+            machine.index, start_key_of(attempt)
         ):
             return  # a delayed direct command may still start it
         if attempt.state is OperationState.CONFIRMED:
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -12,7 +12,7 @@
     STALE_AFTER_LEASES,
     RaiseReason,
     StartKey,
-    key_of,
+    start_key_of,
 )
 from petrelthread.protocol import JobStatus
 from petrelthread.state import Attempt, OperationState, transition
@@ -51,7 +51,7 @@
         self.fleet.cluster_state.set_final_status(self.attempt.job.id, JobStatus.CANCELLED)
 
     def is_tracked(self) -> bool:
-        return self.starts.contains(self.machine.index, key_of(self.attempt))
+        return self.starts.contains(self.machine.index, start_key_of(self.attempt))
 
 
 @pytest.fixture
@@ -200,4 +200,4 @@
 
 def test_start_key_contains_job_task_and_attempt_number(sent: SentStart) -> None:
     attempt: Attempt = sent.attempt
-    assert key_of(attempt) == StartKey(0, 0, attempt.number)
+    assert start_key_of(attempt) == StartKey(0, 0, attempt.number)
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -76,7 +76,7 @@
     attempt: int
 
 
-def key_of(attempt: Attempt) -> StartKey:
+def start_key_of(attempt: Attempt) -> StartKey:
     """Return the key that identifies the attempt on its machine."""
     return StartKey(attempt.job.index, attempt.task, attempt.number)
 
@@ -90,7 +90,7 @@
     fencing_token: int
     sent_at: float
     renewed_at: float  # when a heartbeat response may last have renewed the worker's lease
-    known_open_at: float  # latest time at which the job certainly had no final status
+    job_open_as_of: float  # latest time at which the job is known to have had no final status
     unanswered: bool = False  # whether the wait for a response has ended without one
     listed: bool = False  # whether the worker lists the attempt, so that the command has no effect
     overdue_reported: bool = False
@@ -157,20 +157,20 @@
                 worker's lease.
         """
         starts = self._by_machine.setdefault(attempt.machine, {})
-        starts[key_of(attempt)] = UnacknowledgedStart(
+        starts[start_key_of(attempt)] = UnacknowledgedStart(
             attempt, machine, token, now, renewed_at, self._state_current_as_of()
         )
 
     def on_acknowledged(self, attempt: Attempt) -> None:
         """Stop tracking a start: the worker has responded, or the command was not sent."""
         starts = self._by_machine.get(attempt.machine, {})
-        starts.pop(key_of(attempt), None)
+        starts.pop(start_key_of(attempt), None)
         if not starts:
             self._by_machine.pop(attempt.machine, None)
 
     def on_no_response(self, attempt: Attempt) -> None:
         """Record that no response came in time; the command may still arrive at any time."""
-        start = self._by_machine.get(attempt.machine, {}).get(key_of(attempt))
+        start = self._by_machine.get(attempt.machine, {}).get(start_key_of(attempt))
         if start is not None:
             start.unanswered = True
             log.info(
@@ -289,8 +289,8 @@
         cancellation deadline.
         """
         for start in self._by_machine.get(machine, {}).values():
-            self._update_known_open(start)
-            grace_expired = now >= start.known_open_at + self._lease_grace_s
+            self._update_job_open_as_of(start)
+            grace_expired = now >= start.job_open_as_of + self._lease_grace_s
             if grace_expired and start.fencing_token >= token and not start.listed:
                 return False
         return True
@@ -301,9 +301,9 @@
             if start.fencing_token >= token:
                 start.renewed_at = now
 
-    def _update_known_open(self, start: UnacknowledgedStart) -> None:
+    def _update_job_open_as_of(self, start: UnacknowledgedStart) -> None:
         if start.attempt.job.final_status is None:
-            start.known_open_at = max(start.known_open_at, self._state_current_as_of())
+            start.job_open_as_of = max(start.job_open_as_of, self._state_current_as_of())
 
     def _report_overdue(self, now: float) -> None:
         """Report starts that may take effect past the cancellation deadline of their job."""
@@ -311,9 +311,9 @@
             self._lease_grace_s + self._lease_s * CLOCK_DRIFT_FACTOR + CANCELLATION_MARGIN_S
         )
         for start in self._all():
-            self._update_known_open(start)
+            self._update_job_open_as_of(start)
             unwanted = start.attempt.job.final_status is not None and not start.listed
-            if not unwanted or start.overdue_reported or now < start.known_open_at + deadline_s:
+            if not unwanted or start.overdue_reported or now < start.job_open_as_of + deadline_s:
                 continue
             start.overdue_reported = True
             self.past_deadline_count += 1
@@ -323,5 +323,5 @@
                 start,
                 now - start.sent_at,
                 start.fencing_token,
-                now - start.known_open_at,
+                now - start.job_open_as_of,
             )
