--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -9,7 +9,7 @@
 from petrelthread import protocol
 from petrelthread.provisioning.context import ProvisioningContext
 from petrelthread.provisioning.plan import CORES_EPSILON, Demand
-from petrelthread.provisioning.reserve import Arrivals, standing_reserve
+from petrelthread.provisioning.reserve import Arrivals, service_reserve_cores
 from petrelthread.scheduling import ClusterView
 from petrelthread.state import Job
 
@@ -91,9 +91,9 @@
         """Cores that urgent jobs are likely to request within a boot time."""
         return self._urgent_arrivals.expected_cores(now, self._max_boot_s())
 
-    def standing_reserve(self, now: float) -> float:
+    def service_reserve_cores(self, now: float) -> float:
         """Cores for replicas of services that may arrive, and of those in a lost zone."""
-        return standing_reserve(
+        return service_reserve_cores(
             self._service_arrivals,
             now,
             self._max_boot_s(),
@@ -158,7 +158,7 @@
         )
 
     def _service_demands(self, job: Job) -> list[Demand]:
-        """Standing demands for all replicas of a service, one for each zone that they need."""
+        """Permanent demands for all replicas of a service, one for each zone that they need."""
         return [
             Demand(
                 tasks=tasks,
@@ -170,7 +170,7 @@
                 machine_types=job.machine_types,
                 zone=zone,
                 spot_allowed=job.spot_allowed,
-                standing=True,
+                permanent=True,
             )
             for zone, tasks in self._replicas_by_zone(job).items()
             if tasks > 0
@@ -214,7 +214,7 @@
                 machine_types=None,
                 zone=names.index(zone),
                 spot_allowed=False,
-                standing=True,
+                permanent=True,
             )
             for zone in smallest.zones
             if names.index(zone) not in self._unreachable_zones
--- a/petrelthread/provisioning/plan.py
+++ b/petrelthread/provisioning/plan.py
@@ -65,7 +65,7 @@
     spot_allowed: bool
     has_pending: bool = True  # some of its tasks are on no machine yet
     best_effort: bool = False  # without a deadline and without an objective
-    standing: bool = False  # capacity for all tasks is kept at all times, as for replicas
+    permanent: bool = False  # capacity for all tasks is kept at all times, as for replicas
 
 
 class OwnedMachine(NamedTuple):
--- a/petrelthread/provisioning/planner.py
+++ b/petrelthread/provisioning/planner.py
@@ -35,11 +35,11 @@
     reserve_cores: float,
     options: ProvisioningOptions,
     max_calls: int,
-    standing_reserve: float = 0.0,
+    service_reserve_cores: float = 0.0,
 ) -> Plan:
     """Decide which machines to scale out, to scale in and to cordon.
 
-    Machines are assigned to standing demands first, then to those with the fewest offers, the
+    Machines are assigned to permanent demands first, then to those with the fewest offers, the
     cheapest core first. Machines that no demand needs are surplus.
 
     Args:
@@ -49,15 +49,15 @@
         reserve_cores: Cores to keep for urgent jobs that are likely to arrive.
         options: Options set by operators.
         max_calls: Scale-out calls that may be made now.
-        standing_reserve: Cores to keep for replicas that may arrive, or be lost with a zone.
+        service_reserve_cores: Cores to keep for replicas that may arrive, or be lost with a zone.
     """
     planner = _Planner(owned, offers, options, max_calls)
     groups = _ordered_groups(demands, offers)
-    standing_groups = sum(group.representative.standing for group in groups)
+    permanent_groups = sum(group.representative.permanent for group in groups)
     for group in groups:
         representative = group.representative
-        if representative.standing:
-            group_reserve = standing_reserve / standing_groups
+        if representative.permanent:
+            group_reserve = service_reserve_cores / permanent_groups
         elif representative.spot_allowed and group is groups[-1]:
             group_reserve = reserve_cores
         else:
@@ -103,7 +103,7 @@
 
 
 def _ordered_groups(demands: list[Demand], offers: list[Offer]) -> list[_DemandGroup]:
-    """Group demands by constraints; standing ones first, then those with the fewest offers."""
+    """Group demands by constraints; permanent ones first, then those with the fewest offers."""
     by_eligibility: dict[
         tuple[frozenset[int] | None, int | None, bool, bool, bool], list[Demand]
     ] = {}
@@ -113,7 +113,7 @@
             demand.zone,
             demand.spot_allowed,
             demand.accelerators > 0,
-            demand.standing,
+            demand.permanent,
         )
         by_eligibility.setdefault(eligibility, []).append(demand)
     groups = [
@@ -122,7 +122,7 @@
     ]
     groups.sort(
         key=lambda group: (
-            not group.representative.standing,
+            not group.representative.permanent,
             sum(tasks_per_machine(group.representative, offer) > 0 for offer in offers),
             not group.representative.spot_allowed,
         )
@@ -258,7 +258,7 @@
         # Only jobs with pending tasks need cores for new tasks. A target for all running tasks
         # would keep the last long tasks spread over far more machines than they need.
         schedulable_cores = min(usable_cores, group.pending_cores) + reserve_cores
-        if group.representative.standing:
+        if group.representative.permanent:
             wanted = usable_cores + reserve_cores
             return _CoreTargets(wanted, wanted, wanted, schedulable_cores)
         time_factor = _on_demand_time_factor(self._offers, self._owned, usable)
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -151,7 +151,7 @@
             reserve_cores,
             options,
             self._max_calls,
-            self.forecast.standing_reserve(now),
+            self.forecast.service_reserve_cores(now),
         )
 
     async def _scale_out(self, plan: Plan, now: float) -> float:
--- a/petrelthread/provisioning/reserve.py
+++ b/petrelthread/provisioning/reserve.py
@@ -68,7 +68,7 @@
     return spread_cores / (zones - 1)
 
 
-def standing_reserve(
+def service_reserve_cores(
     services: Arrivals, now: float, boot_s: float, spread_cores: float, zones: int
 ) -> float:
     """Cores to keep for replicas of services that may arrive, and of those in a lost zone.
--- a/petrelthread/provisioning/test_planner.py
+++ b/petrelthread/provisioning/test_planner.py
@@ -38,10 +38,12 @@
     offers: list[Offer],
     reserve_cores: float = 0.0,
     max_calls: int = MAX_CALLS,
-    standing_reserve: float = 0.0,
+    service_reserve_cores: float = 0.0,
 ) -> Plan:
     options = ProvisioningOptions()
-    return make_plan(demands, machines, offers, reserve_cores, options, max_calls, standing_reserve)
+    return make_plan(
+        demands, machines, offers, reserve_cores, options, max_calls, service_reserve_cores
+    )
 
 
 def machines_in(plan: Plan) -> int:
@@ -138,8 +140,8 @@
 
 
 def test_replicas_get_on_demand_machines_and_keep_them() -> None:
-    replicas = Demand(8, 0.0, 0.0, 1.0, 0.0, 1.6, None, None, False, standing=True)
-    first = plan_for([replicas], [], [ON_DEMAND, SPOT], standing_reserve=4.0)
+    replicas = Demand(8, 0.0, 0.0, 1.0, 0.0, 1.6, None, None, False, permanent=True)
+    first = plan_for([replicas], [], [ON_DEMAND, SPOT], service_reserve_cores=4.0)
     # 8 cores and 4 in reserve
     assert [(r.spot, r.machine_count) for r in first.scale_outs] == [(False, 3)]
     # Machines with replicas are kept; idle ones beyond the reserve are scaled in.
@@ -148,7 +150,7 @@
         m._replace(machine_index=m.machine_index + 50)
         for m in owned(3, spot=False, idle_s=99.0, tasks=0)
     ]
-    later = plan_for([replicas], [*idle, *busy], [ON_DEMAND], standing_reserve=4.0)
+    later = plan_for([replicas], [*idle, *busy], [ON_DEMAND], service_reserve_cores=4.0)
     assert not later.scale_outs
     assert not later.cordoned & {m.machine_index for m in busy}
     assert len(later.scale_ins) == 2
--- a/petrelthread/provisioning/test_reserve.py
+++ b/petrelthread/provisioning/test_reserve.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from petrelthread.provisioning.reserve import Arrivals, standing_reserve, zone_loss_reserve
+from petrelthread.provisioning.reserve import Arrivals, service_reserve_cores, zone_loss_reserve
 
 BOOT_S = 35.0
 
@@ -19,10 +19,10 @@
 def test_reserve_covers_lost_zone_and_arriving_services_together() -> None:
     """With a reserve for only one of the two, replicas wait for machines when a zone is lost."""
     services = Arrivals([(0.0, 8.0)])
-    without = standing_reserve(services, 1.0, BOOT_S, 0.0, 3)
+    without = service_reserve_cores(services, 1.0, BOOT_S, 0.0, 3)
     assert without == 16.0  # twice the largest
     # 60 replicas in three zones are 20 in each; after a loss 30 in each of two.
-    assert standing_reserve(services, 1.0, BOOT_S, 60.0, 3) == without + 30.0
+    assert service_reserve_cores(services, 1.0, BOOT_S, 60.0, 3) == without + 30.0
     assert zone_loss_reserve(60.0, 4) == 20.0
 
 
