--- a/petrelthread/scheduling/test_claimed_starts.py
+++ b/petrelthread/scheduling/test_claimed_starts.py
@@ -60,12 +60,12 @@
     """The committed record must not replace the attempt that the heartbeat lists."""
     cluster.add_machine(1, "a")
     other = cluster.add_machine(2, "b", taken_cores=4.0)
-    accepted = cluster.accept(job_spec(JOB, 2, cores=1.0))
+    job = cluster.add_job(job_spec(JOB, 2, cores=1.0))
     heartbeat = heartbeat_of(other.name, "b", [f"{JOB}/0"])
     cluster.claim_writer.during_claim = lambda: receive(cluster, heartbeat)
     await cluster.scheduler.run_round(now())
     assert launched(cluster) == [(1, "host-000001")]
-    assert accepted.live_attempts[0].machine == other.index
+    assert job.live_attempts[0].machine == other.index
 
 
 @cluster_test
@@ -74,7 +74,7 @@
 ) -> None:
     cluster.add_machine(1, "a")
     other = cluster.add_machine(2, "b", taken_cores=4.0)
-    cluster.accept(job_spec(JOB, 3, cores=1.0, single_zone=True))
+    cluster.add_job(job_spec(JOB, 3, cores=1.0, single_zone=True))
     heartbeat = heartbeat_of(other.name, "b", [f"{JOB}/0"])
     cluster.claim_writer.during_claim = lambda: receive(cluster, heartbeat)
     await cluster.scheduler.run_round(now())
@@ -87,8 +87,8 @@
 ) -> None:
     unresponsive = cluster.add_machine(1, "a")
     cluster.add_machine(2, "b")
-    cluster.accept(job_spec(JOB, 8, cores=1.0))
-    cluster.accept(job_spec("wk-000002", 1, cores=0.5, ram_gb=0.5, team="guest"))
+    cluster.add_job(job_spec(JOB, 8, cores=1.0))
+    cluster.add_job(job_spec("wk-000002", 1, cores=0.5, ram_gb=0.5, team="guest"))
 
     def during_claim() -> None:
         unresponsive.transition(Health.UNRESPONSIVE)
@@ -103,8 +103,8 @@
 
 def gang_starts(cluster: Cluster, job_id: str, machines: range) -> list[Start]:
     spec = job_spec(job_id, len(machines), kind="group", team="guest")
-    accepted = cluster.accept(spec)
-    return [Start(accepted, n, cluster.add_machine(m, "a")) for n, m in enumerate(machines)]
+    job = cluster.add_job(spec)
+    return [Start(job, n, cluster.add_machine(m, "a")) for n, m in enumerate(machines)]
 
 
 @pytest.mark.parametrize("jobs_completed", [False, True], ids=["starts alone", "completed jobs"])
@@ -113,7 +113,7 @@
     """The size limits of a transaction must not split a gang over two claims."""
     if jobs_completed:  # completed jobs leave fewer operations for the records
         for number in range(6):
-            completed = cluster.accept(job_spec(f"wk-5{number:05d}", 1))
+            completed = cluster.add_job(job_spec(f"wk-5{number:05d}", 1))
             cluster.fleet.finished_tasks[completed.index] = {0}
     cluster.claim_builder._max_value_bytes = 250  # a gang needs several records of this size
     first = gang_starts(cluster, "wk-000001", range(1, 10))
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -82,7 +82,7 @@
         self.cluster = cluster
         self.random = random.Random(seed)
         self.jobs = [
-            cluster.accept(job_spec(f"wk-{n:06d}", 400, cores=0.5, image=f"img-{n}", team="guest"))
+            cluster.add_job(job_spec(f"wk-{n:06d}", 400, cores=0.5, image=f"img-{n}", team="guest"))
             for n in range(6)
         ]
         self.attempts: list[Attempt] = []
--- a/petrelthread/scheduling/test_scheduler.py
+++ b/petrelthread/scheduling/test_scheduler.py
@@ -16,7 +16,7 @@
     """The two requests of an overdue job have to choose the same zone (incident wk-840897)."""
     cluster.add_machine(1, "a", taken_cores=2.0)  # one task fits: enough for the first request
     cluster.add_machine(2, "b")  # two tasks fit: more than in zone a
-    cluster.accept(job_spec("wk-000001", 3, single_zone=True), waited_s=OVERDUE_S)
+    cluster.add_job(job_spec("wk-000001", 3, single_zone=True), waited_s=OVERDUE_S)
     zones = cluster.zones_of_starts("wk-000001")
     assert zones
     assert len(set(zones)) == 1, zones
@@ -29,7 +29,7 @@
     for tasks in (3, 4, 5):
         job_id = f"wk-00000{tasks}"
         spec = job_spec(job_id, tasks, spread_zones=True, cores=0.5, ram_gb=0.5)
-        cluster.accept(spec, waited_s=OVERDUE_S)
+        cluster.add_job(spec, waited_s=OVERDUE_S)
         assert len(cluster.zones_of_starts(job_id)) == (tasks + 1) // 2, tasks
 
 
@@ -43,7 +43,7 @@
             attempt.job.priority = protocol.PRIORITIES["low"]
             transition(attempt, OperationState.CONFIRMED)
     spec = job_spec("wk-000001", 3, cores=4.0, ram_gb=1.0, priority="high")
-    cluster.accept(spec, waited_s=OVERDUE_S)
+    cluster.add_job(spec, waited_s=OVERDUE_S)
     decision = cluster.scheduler.decide(now())
     assert [start.job.id for start in decision.starts] == ["wk-000001"]
     assert len(decision.preemptions) == 2
@@ -53,7 +53,7 @@
 def test_finished_task_that_is_not_recorded_is_not_started_again(cluster: Cluster) -> None:
     """The job counts a finished task as pending until it is recorded as finished."""
     cluster.add_machine(1, "a")
-    accepted = cluster.accept(job_spec("wk-000001", 3, cores=1.0))
-    cluster.fleet.finished_tasks[accepted.index] = {0, 2}
+    job = cluster.add_job(job_spec("wk-000001", 3, cores=1.0))
+    cluster.fleet.finished_tasks[job.index] = {0, 2}
     starts = cluster.scheduler.decide(now()).starts
     assert [start.task for start in starts] == [1]
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -22,7 +22,7 @@
     def __init__(self, cluster: Cluster, **spec: Any) -> None:
         self.cluster = cluster
         self.machines = {A: cluster.add_machine(1, A), B: cluster.add_machine(2, B)}
-        self.job: Job = cluster.accept(job_spec("wk-000001", 4, cores=1.0, **spec))
+        self.job: Job = cluster.add_job(job_spec("wk-000001", 4, cores=1.0, **spec))
 
     def refused(self, *starts: tuple[int, str]) -> list[tuple[int, Violation]]:
         """The violations found in starts, each given as task and zone of the machine."""
@@ -96,7 +96,7 @@
 def test_start_beyond_team_quota_is_refused(cluster: Cluster) -> None:
     case = Case(cluster)
     quota = int(cluster.settings.cluster.teams[0].max_cores)
-    other = cluster.accept(job_spec("wk-000002", 1, cores=quota - 2.0))
+    other = cluster.add_job(job_spec("wk-000002", 1, cores=quota - 2.0))
     cluster.cluster_state.add_attempt(1, other, 0, case.machines[A].index, 1)
     assert case.refused((0, A), (1, A), (2, B)) == [(2, Violation.TEAM_QUOTA)]
 
--- a/tests/scheduling_cluster.py
+++ b/tests/scheduling_cluster.py
@@ -117,11 +117,11 @@
         machine.machine_type, machine.zone, machine.spot = 0, self.names.zones.index(zone), True
         machine.incarnation, machine.acknowledged_epoch, machine.health = 1, EPOCH, Health.UP
         if taken_cores:
-            other = self.accept(job_spec(f"wk-9{number:05d}", 1, cores=taken_cores, team="guest"))
+            other = self.add_job(job_spec(f"wk-9{number:05d}", 1, cores=taken_cores, team="guest"))
             self.cluster_state.add_attempt(epoch_base_number(EPOCH) - 1, other, 0, machine.index, 1)
         return machine
 
-    def accept(self, spec: dict[str, Any], waited_s: float = 0.0) -> Job:
+    def add_job(self, spec: dict[str, Any], waited_s: float = 0.0) -> Job:
         accepted_at = time.time() - waited_s
         record = JobRecord.from_spec(msgspec.convert(spec, protocol.JobSpec), accepted_at)
         return self.cluster_state.add_job(spec["name_id"], record)
