--- a/petrelthread/fleet/attempt_outcomes.py
+++ b/petrelthread/fleet/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts end (superseded, finished, or lost with their machine), and their saved progress.
+"""Ends of attempts (superseded, finished, lost with their machine), and credit for checkpoints.
 
 ``unacknowledged_starts`` documents the whole life cycle of a start, of which this is the end.
 """
--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -25,8 +25,8 @@
 log = logging.getLogger(__name__)
 
 RESPONSE_TIMEOUT_S = 2.0
-# With one of these statuses, the worker has executed all commands of the request, or none. With any
-# other, it is unknown which commands it has executed.
+# A response with one of these statuses means that the worker has executed all commands of the
+# request, or none. With any other status, it is unknown which commands it has executed.
 KNOWN_OUTCOMES = (HTTPStatus.OK, HTTPStatus.CONFLICT)
 
 
--- a/petrelthread/fleet/failure_attribution.py
+++ b/petrelthread/fleet/failure_attribution.py
@@ -1,9 +1,9 @@
 """Attribution of task failures to the machine or to the job.
 
-A machine is faulty if jobs fail on it that complete elsewhere. A job is suspect if it fails on
-several machines and has never completed a task. Both are evaluated together, so that a broken job
-does not make healthy machines look faulty, and a faulty machine does not make healthy jobs look
-broken.
+A machine is faulty if jobs fail on it that complete elsewhere. A job is proven once it has
+completed a task; an unproven job that fails on several machines is suspect. Both are evaluated
+together, so that a broken job does not make healthy machines look faulty, and a faulty machine does
+not make healthy jobs look broken.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 # Number of machines, not counting faulty ones, on which an unproven job has to fail to be suspect.
 SUSPECT_AFTER_MACHINES = 3
-# A proven job that fails on more machines than this probably has some faulty tasks itself.
+# If a proven job fails on more machines than this, some of its tasks are probably faulty.
 MAX_MACHINES_OF_HEALTHY_JOB = 3
 # Failures of one proven job, with no completion on the machine in between, that show a machine
 # fault.
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -2,9 +2,10 @@
 
 Three decisions, each on its own evidence:
 
-- *Unresponsive*: the machine sends no heartbeats for too long or responds to no read
-  (``FailureDetector.check``), or it responds to no probe (``on_probe``). It gets no new work, and
-  the provisioner scales it in. Its tasks may still run, so none of them is started elsewhere yet.
+- *Unresponsive*: the machine sends no heartbeats within the heartbeat timeout or does not respond
+  to reads by a new leader (``FailureDetector.check``), or it does not respond to probes
+  (``on_probe``). It gets no new work, and the provisioner scales it in. Its tasks may still run,
+  so none of them is started elsewhere yet.
 - *Quarantined*: the machine sends heartbeats, but an asymmetric partition keeps messages from
   reaching it (``check``). It gets no new work either, and the provisioner scales it in.
 - *Lost*: the worker's lease has certainly expired (``check``, by ``WorkerLeases.expires_at``), or
@@ -23,13 +24,18 @@
 log = logging.getLogger(__name__)
 
 READ_INTERVAL_S = 2.5  # minimum time between two reads of the same worker by a new leader
-MAX_FAILED_READS = 2  # consecutive failed reads after which the heartbeat timeout is not awaited
+# Consecutive failed reads after which a machine is unresponsive before its heartbeat timeout.
+MAX_FAILED_READS = 2
 # A heartbeat is overdue after this many heartbeat intervals plus the longest transit time.
 OVERDUE_AFTER_INTERVALS = 1.25
 MAX_HEARTBEAT_TRANSIT_S = 0.75
 MAX_FAILED_PROBES = 2  # consecutive failed probes after which a machine's replicas are replaced
-LEADER_DISCOVERY_MARGIN_S = 4.0  # added to the timeout of workers not yet answered by this leader
-MAX_INDEPENDENT_OVERDUE = 2  # up to this many overdue machines suggest no controller fault
+# Added to the heartbeat timeout of workers that this leader has not answered yet: they may still be
+# looking for the new leader.
+LEADER_DISCOVERY_MARGIN_S = 4.0
+# If heartbeats of more machines than this, and of more than half, are overdue, the fault is
+# probably on this controller's side.
+MAX_INDEPENDENT_OVERDUE = 2
 
 
 class FailureDetector:
--- a/petrelthread/fleet/fleet.py
+++ b/petrelthread/fleet/fleet.py
@@ -28,7 +28,7 @@
         fencing_token: Sent with commands and heartbeat responses; at least the epoch, as it may
             have been raised since the election.
         resumed_at: When this process last resumed after a pause; event loop time.
-        finished_tasks: Finished but not yet durably recorded: task indices by job index.
+        finished_tasks: Finished tasks not yet durably recorded: task indices by job index.
         unacknowledged_starts: Starts that were sent and may still take effect.
         job_failures: Failing jobs and faulty machines.
     """
--- a/petrelthread/fleet/heartbeat_reconciler.py
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -18,7 +18,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_IGNORED_STARTS = 3  # consecutive heartbeats that lack a start already delivered
+# Consecutive heartbeats that lack an already delivered start, after which an asymmetric partition
+# of the machine is assumed.
+MAX_IGNORED_STARTS = 3
 
 
 class HeartbeatReconciler:
--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -16,7 +16,7 @@
     ``Machine.transition``, which permits only those in ``TRANSITIONS``. Who sets each state:
 
     - UP: ``HeartbeatReconciler``, on the first heartbeat of a BOOTING machine, or on an answered
-      heartbeat of an UNRESPONSIVE one that has acknowledged the present epoch.
+      heartbeat of an UNRESPONSIVE one that has acknowledged the current epoch.
       ``MachineRegistry.begin_epoch`` sets it for BOOTING machines that have attempts.
     - DRAINING: ``HeartbeatReconciler``, when the heartbeat carries a spot termination notice.
     - UNRESPONSIVE: ``FailureDetector`` only.
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -34,8 +34,9 @@
 A worker executes a direct command as long as its fencing token and incarnation match, however late
 it arrives, and the sender cannot revoke it. A start is therefore tracked here from sent until
 acknowledged or invalidated. Meanwhile a heartbeat that lacks the attempt does not supersede it
-(``contains``), and its worker gets no forget command for it. Two mechanisms keep such a start from
-taking effect past the cancellation deadline of its job:
+(``contains``), and its worker gets no forget command for it (on which the worker stops listing an
+exited attempt). Two mechanisms keep such a start from taking effect past the cancellation deadline
+of its job:
 
 - ``raise_reason``, called by the scheduling loop: the leader raises its fencing token, which
   invalidates earlier commands on every machine that receives a heartbeat response;
@@ -56,9 +57,11 @@
 
 log = logging.getLogger(__name__)
 
-# A worker that sees a higher token sends a heartbeat at once, but at most this often (PROTOCOL).
+# Minimum time between two raises of the token, in leases. PROTOCOL lets a worker that sees a higher
+# token send a heartbeat immediately, but at most this often.
 RAISE_INTERVAL_LEASES = 0.5
-# The rest of the lease grace period has to suffice for writing the token and answering heartbeats.
+# Upper bound on that time, as a share of the lease grace period. The rest of the period has to
+# suffice for writing the token and answering heartbeats.
 RAISE_INTERVAL_GRACE_SHARE = 1 / 3
 MIN_RAISE_INTERVAL_S = 1.0
 # Age, in leases, at which a start that is still wanted is invalidated. Until then it only delays
--- a/petrelthread/fleet/worker_lease.py
+++ b/petrelthread/fleet/worker_lease.py
@@ -17,7 +17,8 @@
 
 CLOCK_DRIFT_FACTOR = 1.002  # maximum ratio of a duration on a worker's clock to one on this clock
 LEASE_MARGIN_S = 0.5
-REPEATED_LOSS_WINDOW_LEASES = 1.5  # in leases; losses closer together count as consecutive
+# Losses of a worker's lease less than this many leases apart count as consecutive.
+REPEATED_LOSS_WINDOW_LEASES = 1.5
 
 
 def longest_lease_s(lease_s: float) -> float:
@@ -26,7 +27,7 @@
 
 
 class WorkerLeases:
-    """Upper bounds, computed by the leader, on the leases that workers hold."""
+    """Upper bounds, computed by the leader, on when the leases of workers expire."""
 
     def __init__(self, registry: MachineRegistry, lease_s: float, lease_grace_s: float) -> None:
         """Create the tracker of worker leases.
--- a/petrelthread/fleet/worker_status_reader.py
+++ b/petrelthread/fleet/worker_status_reader.py
@@ -19,7 +19,7 @@
 RESPONSE_TIMEOUT_S = 2.0
 PROBE_TIMEOUT_S = 1.0
 MAX_READS = 250  # maximum number of workers that one call of ``read_workers`` reads
-MAX_READS_WHEN_LATE = 25  # the same while the event loop is late by MAX_LOOP_DELAY_S or more
+MAX_READS_WHEN_LATE = 25  # maximum while the event loop is late by MAX_LOOP_DELAY_S or more
 MAX_LOOP_DELAY_S = 0.1
 
 
--- a/petrelthread/fleet/zone_monitor.py
+++ b/petrelthread/fleet/zone_monitor.py
@@ -9,9 +9,10 @@
 
 MISSED_HEARTBEATS = 2.5  # heartbeat intervals without any heartbeat that make a zone unreachable
 LEADER_DISCOVERY_S = 5.0  # added to the timeout while workers look for a new leader
-LEADER_DISCOVERY_PERIODS = 3  # the addition applies for this multiple of LEADER_DISCOVERY_S
-MIN_MACHINES_AS_EVIDENCE = 4  # fewer machines are no evidence in a zone without controllers
-RETRY_AFTER_S = 30.0  # after that, a zone without controllers counts as reachable again
+LEADER_DISCOVERY_PERIODS = 3  # for how many LEADER_DISCOVERY_S the timeout is longer
+# In a zone without controllers, missing heartbeats of fewer machines are no evidence.
+MIN_MACHINES_AS_EVIDENCE = 4
+RETRY_AFTER_S = 30.0  # after this time, a zone without controllers counts as reachable again
 
 EXPECTED_TO_SEND_HEARTBEATS = (Health.UP, Health.DRAINING, Health.UNRESPONSIVE)
 
