--- a/petrelthread/scheduling/__init__.py
+++ b/petrelthread/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Scheduling of pending tasks onto machines: job order, bin packing, preemption and the claim."""
+"""Scheduling of pending tasks onto machines: job order, bin packing, preemption and claims."""
 
 from petrelthread.scheduling.bin_packing import JobPlacement, PlacementResult, place_requests
 from petrelthread.scheduling.capacity_index import CapacityIndex
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -1,4 +1,4 @@
-"""Builds the transaction of one round within the limits of the state service."""
+"""Builds the claim (the transaction) of one round within the limits of the state service."""
 
 from __future__ import annotations
 
@@ -25,8 +25,9 @@
 from petrelthread.store import KEY_PREFIX
 
 CONDITIONS_PER_OPERATION = 4  # conditions that a transaction may have per allowed operation
-FENCING_CONDITIONS = 3  # conditions of every claim: on leader key, epoch and marker
-RESERVED_OPERATIONS = 3  # operations that completed jobs leave for the rest of a transaction
+FENCING_CONDITIONS = 3  # conditions of every claim: on leader key, epoch key and marker
+# Operations of a transaction that are left for other changes than the final statuses of jobs.
+RESERVED_OPERATIONS = 3
 VALUE_SIZE_SHARE = 0.85  # share of the maximum value size of the state service that is used
 BYTES_PER_KIB = 1024
 
--- a/petrelthread/scheduling/job_order.py
+++ b/petrelthread/scheduling/job_order.py
@@ -14,14 +14,15 @@
 from petrelthread.scheduling.on_time_selection import CapacityTimeline, reachable_objectives
 from petrelthread.scheduling.queue_entry import QueuedJob, QueueEntry
 
-# Time from now to the due time of a job that can reach no objective.
+# Assumed time from now to the due time of a job that can reach no objective.
 UNREACHABLE_OBJECTIVE_S = 1e6
-# Time from now to the latest start of a late job that would outlast the backlog.
+# Assumed time from now to the latest start of a late job that would otherwise still run alone after
+# the backlog is complete.
 LATE_JOB_SLACK_S = 70.0
 # A job that has not started this long after its acceptance is overdue.
 MAX_START_DELAY_S = 150.0
 
-MIN_SHARED_CORES = 1.0  # assumed for other jobs if services request all cores
+MIN_SHARED_CORES = 1.0  # cores assumed for other jobs if services request all cores
 
 
 class _GroupKey(NamedTuple):
--- a/petrelthread/scheduling/occupancy.py
+++ b/petrelthread/scheduling/occupancy.py
@@ -1,7 +1,7 @@
 """Zones and machines that the tasks of one job occupy or may occupy.
 
 A round has one ``JobOccupancy`` for each job. All requests of the job share it, and each start that
-the round decides is added at once, so that two requests cannot choose different zones for one
+the round decides is added immediately, so that two requests cannot choose different zones for one
 single-zone job.
 """
 
--- a/petrelthread/scheduling/preemption_planner.py
+++ b/petrelthread/scheduling/preemption_planner.py
@@ -24,8 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-# How long a job waits before tasks are preempted for it: the given share of the start objective of
-# its class, or the default if the class has none.
+# How long a job waits before tasks are preempted for it: ``PREEMPTION_DELAY_SHARE`` of the start
+# objective of its class, or the default if the class has none.
 DEFAULT_PREEMPTION_DELAY_S = 10.0
 PREEMPTION_DELAY_SHARE = 0.2
 
--- a/petrelthread/scheduling/replica_preemption.py
+++ b/petrelthread/scheduling/replica_preemption.py
@@ -1,7 +1,7 @@
 """Selection of running tasks to preempt so that the missing replicas of all services fit.
 
-Works on copies of the capacity that is free or about to become free, and does not change the
-cluster state.
+The selection works on copies of the capacity that is free or about to become free, and does not
+change the cluster state.
 """
 
 from __future__ import annotations
--- a/petrelthread/scheduling/round_claim.py
+++ b/petrelthread/scheduling/round_claim.py
@@ -1,4 +1,4 @@
-"""The transaction of one round, with the data needed to apply it once it is committed."""
+"""The claim (the transaction) of one round, with the data to apply it once it is committed."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
         records: records of the starts and stops.
         starts: the starts that ``records`` contain.
         suspects: by id of a newly suspect job, the machines on which the job failed.
-        deleted_keys: keys of settled records to delete, without the common prefix.
+        deleted_keys: keys of settled records (no longer needed) to delete, without the common
+            prefix.
         has_postponed: whether some of the decided starts or stops have to wait for a later round.
     """
 
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -21,7 +21,8 @@
 
 log = logging.getLogger(__name__)
 
-MIN_RECORD_NUMBERS_LEFT = 4096  # with fewer left, the leader resigns, which ends its epoch
+# With fewer record numbers left in its epoch, the leader resigns; a new epoch has new ones.
+MIN_RECORD_NUMBERS_LEFT = 4096
 DEFAULT_ROUND_INTERVAL_S = 0.25
 DEFAULT_ROUND_BUDGET_S = 0.05
 
@@ -30,7 +31,8 @@
     """Decides, claims and dispatches one round after the other; runs on the leader only.
 
     Attributes:
-        obsolete_keys: keys of settled records that a later claim deletes; provisioning adds to it.
+        obsolete_keys: keys of settled records, which are no longer needed; a later claim deletes
+            them. Provisioning adds to it.
         claim_builder: builds the claims of rounds.
         round_interval_s: the minimum time between two rounds.
         round_budget_s: how long one round may spend on placing requests.
--- a/petrelthread/scheduling/tolerance.py
+++ b/petrelthread/scheduling/tolerance.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-# For amounts of capacity, which accumulate rounding errors over many starts and ends of tasks.
+# Tolerance for amounts of capacity, which accumulate rounding errors over many starts and ends of
+# tasks.
 CAPACITY_TOLERANCE = 1e-6
-# For sums of the requests of jobs.
+# Tolerance for sums of the requests of jobs.
 REQUEST_TOLERANCE = 1e-9
