--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -44,11 +44,13 @@
 
 STATE_SERVICE_SHARE = 0.9  # share of the state service's limits that all controllers use
 CLOUD_SHARE = 0.85  # share of the cloud's limit; not divided, since the leader makes the calls
-CLOUD_BURST_S = 2.0  # the cloud accepts this many seconds' worth of calls at once
-CLEANUP_RESERVE_SHARE = 0.5  # of the write burst; deletions of settled records leave it unused
+CLOUD_BURST_S = 2.0  # seconds' worth of calls that the cloud accepts in one burst
+# Share of the write burst that deletions of settled records, which are no longer needed, leave for
+# other writes.
+CLEANUP_RESERVE_SHARE = 0.5
 # Without a completed read for this long, the state service counts as unreachable.
 STATE_SERVICE_TIMEOUT_S = 3.0
-MAX_CONCURRENT_COMMANDS = 24  # default for direct requests to workers
+MAX_CONCURRENT_COMMANDS = 24  # default limit on simultaneous direct requests to workers
 LEADER_POLL_INTERVAL_S = 0.03  # pause between two watches of the state service
 FOLLOWER_POLL_INTERVAL_S = 0.15
 UNLIMITED_CACHE_GB = 1e9  # assumed for the image cache of a machine of unknown type
--- a/petrelthread/controller/provisioning_loop.py
+++ b/petrelthread/controller/provisioning_loop.py
@@ -17,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAIT_S = 1.0  # for a wake-up, before the next step
-STEP_INTERVAL_S = 0.5  # between two steps, at least
+MAX_WAIT_S = 1.0  # maximum wait for a wake-up before the next step
+STEP_INTERVAL_S = 0.5  # minimum pause between two steps
 MAX_PLAN_TIME_SHARE = 0.1  # share of the time that planning may take
 # The leader stores the catalog for all controllers. A follower that still lacks it after this
 # time reads it from the cloud. It waits because calls by all controllers would use up the burst
--- a/petrelthread/controller/scheduling_loop.py
+++ b/petrelthread/controller/scheduling_loop.py
@@ -14,11 +14,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAIT_S = 1.0  # for a wake-up, before the next round
+MAX_WAIT_S = 1.0  # maximum wait for a wake-up before the next round
 FOLLOWER_PAUSE_S = 0.05
 FAILURE_CHECK_INTERVAL_S = 0.5
 MISSED_HEARTBEATS = 2.5  # heartbeat intervals without a heartbeat until a machine is unresponsive
-UNRESPONSIVE_MARGIN_S = 4.0  # in addition to ``MISSED_HEARTBEATS`` intervals
+UNRESPONSIVE_MARGIN_S = 4.0  # added to the time of ``MISSED_HEARTBEATS`` intervals
 
 
 @dataclass
--- a/petrelthread/controller/write_rate_manager.py
+++ b/petrelthread/controller/write_rate_manager.py
@@ -18,8 +18,9 @@
 log = logging.getLogger(__name__)
 
 PEER_TIMEOUT_S = 10.0  # a sibling without a heartbeat for longer probably writes nothing
-BORROW_AFTER_S = 20.0  # a leader borrows only this long after its start and its last 429
-SAMPLE_WEIGHT = 0.3  # of the newest sample in the mean write rate
+# Time after its start, and after its last 429 response, before which a leader borrows nothing.
+BORROW_AFTER_S = 20.0
+SAMPLE_WEIGHT = 0.3  # weight of the newest sample in the mean write rate
 MIN_SAMPLE_S = 0.1  # assumed duration of a shorter sample
 
 
--- a/petrelthread/leadership/leadership_state.py
+++ b/petrelthread/leadership/leadership_state.py
@@ -1,4 +1,4 @@
-"""The role of a controller, the evidence for it, and what the two allow it to do."""
+"""The role of a controller, the evidence for it, and what the controller may therefore do."""
 
 from __future__ import annotations
 
--- a/petrelthread/provisioning/boot_monitor.py
+++ b/petrelthread/provisioning/boot_monitor.py
@@ -8,9 +8,11 @@
 from petrelthread.settings import Settings
 
 BOOT_TIMEOUT_FACTOR = 2.5  # multiple of the usual boot time after which a machine is scaled in
-BOOT_TIMEOUT_LIST_LAGS = 2.0  # minimum time beyond the usual boot time, in lags of the cloud's list
+# Minimum time beyond the usual boot time until a machine is scaled in, in multiples of the lag of
+# the cloud's list of machines.
+BOOT_TIMEOUT_LIST_LAGS = 2.0
 UNKNOWN_TYPE_BOOT_S = 60.0  # assumed boot time if the machine type is unknown
-LEADER_DISCOVERY_S = 5.0  # time to find a new leader, in addition to two heartbeat intervals
+LEADER_DISCOVERY_S = 5.0  # time to find a new leader, added to two heartbeat intervals
 
 
 class BootMonitor:
--- a/petrelthread/provisioning/catalog.py
+++ b/petrelthread/provisioning/catalog.py
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 
 CATALOG_INTERVAL_S = 60.0
-FIRST_CATALOG_INTERVAL_S = 1.0  # while the catalog is unknown
+FIRST_CATALOG_INTERVAL_S = 1.0  # time between two reads while the catalog is unknown
 
 
 class MachineCatalog:
--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -15,7 +15,8 @@
 
 EXPECTED_MACHINES_PER_ZONE = 2  # machines of the smallest type kept for an unseen urgent job class
 EXPECTED_MACHINES = 4  # minimum number for unseen urgent classes, in all zones together
-LATE_BOOT_FACTOR = 1.6  # multiple of the usual boot time after which a machine is no capacity
+# Multiple of the usual boot time after which a booting machine does not count as capacity.
+LATE_BOOT_FACTOR = 1.6
 MAX_PROBED_MACHINES = 6  # a suspect job that has failed on more machines demands none
 UNKNOWN_BOOT_S = 30.0  # assumed boot time while the catalog is unknown
 MAX_RUN_PROGRESS = 0.9  # maximum share of its expected run time that a running task counts as done
--- a/petrelthread/provisioning/operations.py
+++ b/petrelthread/provisioning/operations.py
@@ -10,7 +10,7 @@
 from petrelthread.provisioning.context import RecordCleanup
 from petrelthread.state import ClusterState, KeyKind, OperationState, ScaleOutRecord, transition
 
-RETRY_INTERVAL_S = 1.5  # before an operation with unknown outcome is sent again
+RETRY_INTERVAL_S = 1.5  # time before an operation with unknown outcome is sent again
 
 
 class CloudOperation:
--- a/petrelthread/provisioning/planner.py
+++ b/petrelthread/provisioning/planner.py
@@ -21,7 +21,8 @@
     ScaleOutRequest,
 )
 
-DEFAULT_PRICE_RATIO = 2.2  # ratio of on-demand to spot price of a core that the options assume
+# Ratio of on-demand to spot price of a core that ``ProvisioningOptions`` assumes.
+DEFAULT_PRICE_RATIO = 2.2
 UNTRIED_OFFER_YIELD = 0.5  # share of the request that an untried offer is expected to fill
 # Multiple of the lacking cores that a machine may have if a smaller one costs less.
 MAX_OVERSIZE = 2.0
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -26,10 +26,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REPLANS = 10  # per step
+MAX_REPLANS = 10  # maximum number of scale-out plans per step
 CALL_BURST_S = 2.0  # a plan may contain the calls that the rate limit allows in this time
 MIN_CALLS_PER_PLAN = 2
-RESEND_LIST_LAGS = 4.0  # age, in lags of the list, beyond which a scale-out is not sent again
+# Age beyond which a scale-out is not sent again, in multiples of the lag of the cloud's list.
+RESEND_LIST_LAGS = 4.0
 RESEND_MARGIN_S = 5.0  # added to the age given by RESEND_LIST_LAGS
 
 
@@ -37,7 +38,7 @@
     """Matches the machines to the demand while this controller is the leader.
 
     Attributes:
-        machine_types: Catalogue by interned index of the machine type.
+        machine_types: The catalog, by interned index of the machine type.
         operations: Recorded calls to the cloud, by store key.
         offer_backoff: Backoff and last response by offer.
         forecast: Present and expected demand.
@@ -45,7 +46,7 @@
         scale_in: Carries out scale-ins.
         scale_in_selection: Selects machines to scale in.
         last_plan_duration_s: How long the last plan took.
-        wake: Set to start the next step at once.
+        wake: Set to start the next step immediately.
     """
 
     def __init__(
--- a/petrelthread/provisioning/reserve.py
+++ b/petrelthread/provisioning/reserve.py
@@ -4,8 +4,10 @@
 
 from collections.abc import Iterable
 
-WINDOW_S = 90.0  # older arrivals do not count
-MIN_SPAN_S = 30.0  # shortest time for a ramping rate: a single arrival counts as one in this time
+WINDOW_S = 90.0  # age in seconds beyond which arrivals do not count
+# Minimum time over which the rate of ramping arrivals (see ``Arrivals``) is taken: a single arrival
+# counts as one in this time.
+MIN_SPAN_S = 30.0
 BOOT_MARGIN_S = 10.0  # time beyond its usual boot time that a machine may take
 LARGEST_SERVICE_FACTOR = 2.0  # services of the largest recent size that may arrive during a boot
 MIN_ZONES_TO_RELOCATE = 3  # with fewer, replicas of a lost zone cannot be placed in the others
--- a/petrelthread/provisioning/scale_in.py
+++ b/petrelthread/provisioning/scale_in.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-RECORD_SIZE_SHARE = 0.8  # of the largest value that the state service accepts
+RECORD_SIZE_SHARE = 0.8  # maximum record size, as a share of the state service's value limit
 NAME_OVERHEAD_BYTES = 3  # quotes and comma around a name in a JSON list
 
 
--- a/petrelthread/state/attempt_table.py
+++ b/petrelthread/state/attempt_table.py
@@ -16,7 +16,7 @@
             without attempts are absent.
         attempts_by_round: attempts that may be running, by number of the round's record; every
             existing record has an entry.
-        usage: resources used by the attempts that may be running, without exited ones.
+        usage: resources used by the attempts that may be running, except exited ones.
     """
 
     def __init__(self) -> None:
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -17,7 +17,9 @@
 
 TaskKey = tuple[int, int]  # index of the job, number of the task
 
-STOP_TIME_UNKNOWN = 1.0  # event loop time in seconds; long before any that a controller reads
+# Event loop time in seconds that stands for an unknown time of a stop; it is long before any that a
+# controller reads.
+STOP_TIME_UNKNOWN = 1.0
 
 
 class Attempt:
--- a/petrelthread/store/client.py
+++ b/petrelthread/store/client.py
@@ -35,7 +35,7 @@
 LIST_TIMEOUT_S = 3.0
 WATCH_MARGIN_S = 1.0  # added to a watch's wait time, to give its request timeout
 PAGE_SIZE = 1000  # keys on one page of a listing
-ERROR_EXCERPT_BYTES = 200  # of a 400 response's body, quoted in the error's message
+ERROR_EXCERPT_BYTES = 200  # part of a 400 response's body that the error's message quotes
 
 
 def _decode(body: bytes, kind: type[T]) -> T:
--- a/petrelthread/store/errors.py
+++ b/petrelthread/store/errors.py
@@ -24,10 +24,10 @@
 
 
 class TransactionConflictError(StateServiceError):
-    """A condition of the transaction did not hold; nothing was applied.
+    """A condition of the transaction was not met; nothing was applied.
 
     Attributes:
-        failed_keys: keys of the conditions that did not hold, with their prefix.
+        failed_keys: keys of the conditions that were not met, with their prefix.
     """
 
     def __init__(self, failed_keys: tuple[str, ...]) -> None:
--- a/petrelthread/store/token_bucket.py
+++ b/petrelthread/store/token_bucket.py
@@ -4,15 +4,15 @@
 
 import asyncio
 
-LOW_LEVEL_SHARE = 0.3  # of the burst; below this the bucket counts as low
-FULL_LEVEL_SHARE = 0.8  # of the burst; above this the bucket counts as full
+LOW_LEVEL_SHARE = 0.3  # share of the burst below which the level counts as low
+FULL_LEVEL_SHARE = 0.8  # share of the burst above which the level counts as full
 
 
 class TokenBucket:
     """A token bucket, refilled with ``rate`` tokens per second up to ``burst`` tokens.
 
-    The level may become negative: ``acquire`` takes its tokens at once and then sleeps until they
-    are refilled, so that callers proceed in order and an amount may exceed the burst.
+    The level may become negative: ``acquire`` takes its tokens immediately and then sleeps until
+    they are refilled, so that callers proceed in order and an amount may exceed the burst.
 
     Attributes:
         rate: tokens per second; change it with ``set_rate``.
--- a/petrelthread/store/watch_cache.py
+++ b/petrelthread/store/watch_cache.py
@@ -13,9 +13,9 @@
 
 log = logging.getLogger(__name__)
 
-KEY_PREFIX = "pt/"  # of all keys of the scheduler in the state service
+KEY_PREFIX = "pt/"  # prefix of all keys of the scheduler in the state service
 WATCH_TIMEOUT_S = 10.0  # the service responds to a watch without changes after this time
-FOLLOW_RETRY_S = 0.3  # after a failed watch or reload
+FOLLOW_RETRY_S = 0.3  # pause after a failed watch or reload
 
 Listener = Callable[[str, Any, int], None]
 """Called with a key without prefix, its value (None: deleted) and the revision of the change."""
--- a/petrelthread/store/write_quota.py
+++ b/petrelthread/store/write_quota.py
@@ -12,8 +12,9 @@
 
 LOAN_DURATION_S = 3.0
 CLOCK_DRIFT_FACTOR = 1.002  # how much faster the lender's clock may run than the borrower's
-RETAINED_SHARE = 0.5  # of the base rate; never lent, because user requests come in bursts
-MIN_WRITE_RATE = 0.2  # writes per second
+# Share of the base rate that is never lent, because user requests come in bursts.
+RETAINED_SHARE = 0.5
+MIN_WRITE_RATE = 0.2  # writes per second that a controller may always make
 NEED_FACTOR = 2.0  # a controller may soon need this many times its recent writes
 
 
--- a/petrelthread/store/write_rates.py
+++ b/petrelthread/store/write_rates.py
@@ -8,8 +8,8 @@
 
 from typing import NamedTuple
 
-USED_SHARE = 0.9  # of the limit; used by all controllers together
-LEADER_SHARE = 0.6  # of the used part
+USED_SHARE = 0.9  # share of the limit that all controllers together may use
+LEADER_SHARE = 0.6  # the leader's share of the used part
 
 
 class WriteRates(NamedTuple):
