--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -9,13 +9,14 @@
 from petrelthread import protocol
 from petrelthread.provisioning.context import ProvisioningContext
 from petrelthread.provisioning.plan import CORES_EPSILON, Demand
-from petrelthread.provisioning.reserve import Arrivals, standing_reserve
+from petrelthread.provisioning.reserve import Arrivals, service_reserve_cores
 from petrelthread.scheduling import ClusterView
 from petrelthread.state import Job
 
 EXPECTED_MACHINES_PER_ZONE = 2  # machines of the smallest type kept for an unseen urgent job class
 EXPECTED_MACHINES = 4  # minimum number for unseen urgent classes, in all zones together
-LATE_BOOT_FACTOR = 1.6  # multiple of the usual boot time after which a machine is no capacity
+# Multiple of the usual boot time after which a booting machine does not count as capacity.
+LATE_BOOT_FACTOR = 1.6
 MAX_PROBED_MACHINES = 6  # a suspect job that has failed on more machines demands none
 UNKNOWN_BOOT_S = 30.0  # assumed boot time while the catalog is unknown
 MAX_RUN_PROGRESS = 0.9  # maximum share of its expected run time that a running task counts as done
@@ -91,9 +92,9 @@
         """Cores that urgent jobs are likely to request within a boot time."""
         return self._urgent_arrivals.expected_cores(now, self._max_boot_s())
 
-    def standing_reserve(self, now: float) -> float:
+    def service_reserve_cores(self, now: float) -> float:
         """Cores for replicas of services that may arrive, and of those in a lost zone."""
-        return standing_reserve(
+        return service_reserve_cores(
             self._service_arrivals,
             now,
             self._max_boot_s(),
@@ -158,7 +159,7 @@
         )
 
     def _service_demands(self, job: Job) -> list[Demand]:
-        """Standing demands for all replicas of a service, one for each zone that they need."""
+        """Permanent demands for all replicas of a service, one for each zone that they need."""
         return [
             Demand(
                 tasks=tasks,
@@ -170,7 +171,7 @@
                 machine_types=job.machine_types,
                 zone=zone,
                 spot_allowed=job.spot_allowed,
-                standing=True,
+                permanent=True,
             )
             for zone, tasks in self._replicas_by_zone(job).items()
             if tasks > 0
@@ -214,7 +215,7 @@
                 machine_types=None,
                 zone=names.index(zone),
                 spot_allowed=False,
-                standing=True,
+                permanent=True,
             )
             for zone in smallest.zones
             if names.index(zone) not in self._unreachable_zones
