--- a/petrelthread/admin/controller_parts.py
+++ b/petrelthread/admin/controller_parts.py
@@ -26,7 +26,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings file."""
+        """The settings from the settings file."""
 
     @property
     def state_client(self) -> StateClient:
@@ -66,7 +66,7 @@
 
     @property
     def provisioner(self) -> Provisioner:
-        """Rents and returns machines; holds the cloud operations."""
+        """Rents and returns machines; tracks the cloud operations."""
 
     @property
     def pause_detector(self) -> PauseDetector:
--- a/petrelthread/controller/controller.py
+++ b/petrelthread/controller/controller.py
@@ -76,7 +76,7 @@
         Args:
             settings: the settings that the platform supplies.
             request: sends HTTP requests.
-            randomness: source of nonces, and of delays so that controllers act at different times.
+            randomness: source of nonces, and of delays that differ between controllers.
             worker_request: sends requests to workers; ``request`` if None.
             max_concurrent_commands: how many requests to workers may be in flight.
             lease_request: sends lease renewals, so that they never queue behind other requests;
--- a/petrelthread/controller/housekeeping.py
+++ b/petrelthread/controller/housekeeping.py
@@ -23,12 +23,13 @@
 LOAD_LOG_INTERVAL_S = 5.0
 MAX_STATE_AGE_S = 1.0  # the watch cache is refreshed if its newest read is older
 PEER_TIMEOUT_S = 3.0  # a sibling without a heartbeat for longer counts as unreachable
-# How long after its election a leader reads workers that have not acknowledged its epoch.
+# For this long after its election a leader reads the status of workers that have not acknowledged
+# its epoch.
 READ_WORKERS_S = 15.0
 # How long a leader that resigned because no worker reaches it does not campaign.
 ABSTAIN_S = 15.0
-# Worker heartbeats received by siblings that prove that workers are alive.
-MIN_PEER_HEARTBEATS = 2
+# If the siblings together received at least this many worker heartbeats, workers are alive.
+MIN_WORKER_HEARTBEATS_AT_SIBLINGS = 2
 
 
 @dataclass
@@ -45,7 +46,7 @@
     heartbeat_handler: HeartbeatHandler
     worker_status_reader: WorkerStatusReader
     zone_monitor: ZoneMonitor
-    view: ClusterView
+    cluster_view: ClusterView
     update_alerts: Callable[[float], None]
     _max_delay_s: float = field(default=0.0, init=False)  # of the event loop, since last logged
     _load_logged_at: float = field(default=0.0, init=False)
@@ -85,7 +86,7 @@
             log.debug(
                 "load: %s; maximum event loop delay %.2f s; fencing token %d;"
                 " %d unacknowledged starts, the oldest %.1f s old",
-                self.view.load_summary(),
+                self.cluster_view.load_summary(),
                 self._max_delay_s,
                 self.election.fencing_token,
                 starts.count(),
@@ -131,6 +132,6 @@
             return
         recent_heartbeats = self.peer_monitor.recent_heartbeats(PEER_TIMEOUT_S)
         received = sum(heartbeat.worker_heartbeats for heartbeat in recent_heartbeats)
-        if received >= MIN_PEER_HEARTBEATS:
+        if received >= MIN_WORKER_HEARTBEATS_AT_SIBLINGS:
             log.info("no worker reaches this node, but siblings received %d heartbeats", received)
             await election.resign("workers do not reach this node", ABSTAIN_S)
--- a/petrelthread/controller/routes.py
+++ b/petrelthread/controller/routes.py
@@ -14,7 +14,7 @@
 from petrelthread.peers import PEER_HEARTBEAT_PATH, PeerMonitor
 from petrelthread.store import WatchCache
 
-# If its newest read of the state is older than this, a node is not ready as long as a sibling
+# A node whose newest read of the state is older than this is not ready as long as a sibling
 # (another controller) reaches the state service.
 MAX_READY_STATE_AGE_S = 3.0
 PEER_TIMEOUT_S = 3.0  # a sibling without a heartbeat for longer counts as unreachable
--- a/petrelthread/controller/scheduling_loop.py
+++ b/petrelthread/controller/scheduling_loop.py
@@ -66,7 +66,7 @@
         await self._invalidate_unacknowledged_starts(now)
 
     async def _run_round(self, now: float) -> bool:
-        """Run one round. Returns whether the next one should follow at once."""
+        """Run one round; return whether the next one should follow immediately."""
         if self.scheduler.record_numbers_left() < MIN_RECORD_NUMBERS_LEFT:
             await self.election.resign("the record numbers of this epoch are used up", 0.0)
             return False
--- a/petrelthread/controller/state_changes.py
+++ b/petrelthread/controller/state_changes.py
@@ -68,7 +68,7 @@
             self._scheduler.wake.set()
 
     def _handle_own_round(self, number: int, record: Any) -> bool:
-        """Handle a record of this epoch that must not be applied; return whether it was one."""
+        """Return whether a record is of this epoch and must not be applied; if so, handle it."""
         if self._scheduler.defer_record(number, record):
             return True
         known = number in self._cluster_state.attempts_by_round
--- a/petrelthread/controller/write_rate_manager.py
+++ b/petrelthread/controller/write_rate_manager.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 PEER_TIMEOUT_S = 10.0  # a sibling without a heartbeat for longer probably writes nothing
-# Time after its start, and after its last 429 response, before which a leader borrows nothing.
+# A leader borrows nothing until this long after its start and after its last 429 response.
 BORROW_AFTER_S = 20.0
 SAMPLE_WEIGHT = 0.3  # weight of the newest sample in the mean write rate
 MIN_SAMPLE_S = 0.1  # assumed duration of a shorter sample
--- a/petrelthread/http/server.py
+++ b/petrelthread/http/server.py
@@ -14,7 +14,7 @@
 
 DEFAULT_STALE_AFTER_S = 15.0
 LISTEN_BACKLOG = 8192  # connections that may wait to be accepted; the kernel may set a lower limit
-MAX_ACCEPTS = 32  # in one iteration of the event loop
+MAX_ACCEPTS = 32  # connections accepted in one iteration of the event loop
 READ_BUFFER_BYTES = 128 * 1024  # received on one connection and not yet parsed
 
 
--- a/petrelthread/http/server_connection.py
+++ b/petrelthread/http/server_connection.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT_S = 75.0  # within which a complete request head must arrive
+IDLE_TIMEOUT_S = 75.0  # a complete request head must arrive within this time
 BODY_TIMEOUT_S = 10.0
 MAX_TARGET_BYTES = 8 * 1024
 MAX_HEAD_BYTES = 16 * 1024
--- a/petrelthread/http/test_load_shedder.py
+++ b/petrelthread/http/test_load_shedder.py
@@ -137,7 +137,7 @@
 
 
 def test_shed_users_get_503_with_retry_after_and_shed_workers_no_response() -> None:
-    """A worker whose connection is closed sends its heartbeat to another controller at once."""
+    """After its connection is closed, a worker immediately tries another controller."""
 
     async def respond_ok(method: str, target: str, body: bytes) -> Response:
         return json_response(200, {})
--- a/petrelthread/job_api/handler.py
+++ b/petrelthread/job_api/handler.py
@@ -1,6 +1,6 @@
 """HTTP routing of users' requests.
 
-A request that cannot be processed yet gets status 503 at once instead of waiting.
+A request that cannot be processed yet gets status 503 immediately instead of waiting.
 """
 
 from __future__ import annotations
--- a/petrelthread/job_api/submission.py
+++ b/petrelthread/job_api/submission.py
@@ -25,7 +25,7 @@
 from petrelthread.state import ClusterState, JobRecord, encode
 from petrelthread.store import StateClient, WatchCache
 
-MAX_WRITE_WAIT_S = 1.5  # a submission that would wait longer for its write is refused at once
+MAX_WRITE_WAIT_S = 1.5  # a submission whose write would wait longer is refused immediately
 KB = 1000
 
 
--- a/petrelthread/job_api/test_handler.py
+++ b/petrelthread/job_api/test_handler.py
@@ -123,7 +123,7 @@
     run_in_virtual_time(main())
 
 
-def test_requests_get_503_at_once_during_an_outage_of_the_state_service() -> None:
+def test_requests_get_503_immediately_during_an_outage_of_the_state_service() -> None:
     async def main() -> None:
         simulation = await simulation_with_leader()
         simulation.state_service.set_outage(True)
@@ -164,7 +164,7 @@
 
 
 def test_too_large_job_gets_400_unless_it_was_accepted_before() -> None:
-    """The limit may have been larger at that time; this controller may not know the job yet."""
+    """The limit may have been larger at acceptance; this controller may not know the job yet."""
 
     async def main() -> None:
         simulation = Simulation()
--- a/petrelthread/job_api/validation.py
+++ b/petrelthread/job_api/validation.py
@@ -78,7 +78,7 @@
 
 
 def _is_allowed(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether the job may use the machine type, and the type exists in a zone it may use."""
+    """Whether the job allows the machine type, and the job's zone, if any, has the type."""
     if spec.machine_types is not None and machine_type.name not in spec.machine_types:
         return False
     return spec.zone is None or spec.zone in machine_type.zones
--- a/petrelthread/store/client.py
+++ b/petrelthread/store/client.py
@@ -122,7 +122,7 @@
         """Read one page of the keys with a prefix, in key order.
 
         Args:
-            prefix: of the keys.
+            prefix: the prefix of the keys.
             after: last key of the previous page; None for the first page.
         """
         target = f"/keys?prefix={quote(prefix)}&limit={PAGE_SIZE}"
@@ -138,9 +138,9 @@
         """Wait for changes of the keys with a prefix.
 
         Args:
-            prefix: of the keys.
-            after: revision; later changes are returned.
-            wait_s: the service responds without changes after this time; 0: at once.
+            prefix: the prefix of the keys.
+            after: a revision; later changes are returned.
+            wait_s: the service responds without changes after this time; 0: immediately.
             skip_rate_limit: take no token of ``request_bucket``, because the caller has taken one.
 
         Returns:
--- a/petrelthread/store/token_bucket.py
+++ b/petrelthread/store/token_bucket.py
@@ -33,7 +33,7 @@
         self._refilled_at = now
 
     async def acquire(self, amount: float = 1.0) -> None:
-        """Take tokens at once, then wait until the level is no longer negative."""
+        """Take tokens immediately, then wait until the level is no longer negative."""
         loop = asyncio.get_running_loop()
         self._refill(loop.time())
         self._level -= amount
--- a/petrelthread/store/watch_cache.py
+++ b/petrelthread/store/watch_cache.py
@@ -102,7 +102,7 @@
         self._listener(key, value, revision)
 
     def _apply(self, response: protocol.WatchResponse) -> None:
-        # Two watches may be open at once, so changes that were already applied are skipped.
+        # Concurrent watches may return the same changes; those already applied are skipped.
         for change in response.changes:
             if change.revision <= self.revision:
                 continue
@@ -138,7 +138,7 @@
     async def refresh(self) -> bool:
         """Apply all changes made before this call.
 
-        Concurrent callers share one read. Only callers from before its start may rely on it, so
+        Concurrent callers share one read. Only calls made before a read starts may rely on it, so
         later callers share the next read, which starts when the running one ends.
 
         Returns:
--- a/petrelthread/store/write_quota.py
+++ b/petrelthread/store/write_quota.py
@@ -64,7 +64,7 @@
     def record_loan(self, lender: str, amount: float, requested_at: float) -> None:
         """Record a loan that ``lender`` granted.
 
-        It counts from ``requested_at``, so that it expires here before it does for the lender.
+        The loan starts at ``requested_at``, so that it expires here before it does for the lender.
         """
         self._borrowed[lender] = Loan(amount, requested_at + LOAN_DURATION_S)
 
--- a/petrelthread/store/write_rates.py
+++ b/petrelthread/store/write_rates.py
@@ -18,7 +18,7 @@
     leader: float
     follower: float  # of each follower
     unused: float  # part of the limit outside all shares
-    burst: float  # writes that one controller may make at once
+    burst: float  # writes that one controller may make in one burst
 
     @classmethod
     def divide(cls, limit: float, controllers: int) -> WriteRates:
