--- a/petrelthread/leadership/claim_writer.py
+++ b/petrelthread/leadership/claim_writer.py
@@ -73,8 +73,8 @@
     A claim is only valid in the epoch in which it was requested, because it is based on the state
     known in that epoch. If this controller loses the leadership and is elected again while the
     claim is queued or in flight, another leader may have acted in between. The claim must not be
-    applied under the newer fence and ends as ``FENCED``. The fencing token may be raised meanwhile,
-    because no other controller leads within an epoch.
+    applied under the newer fence and ends as ``FENCED``. A fencing token that is raised meanwhile
+    does not end the claim, because no other controller leads within an epoch.
     """
 
     def __init__(self, client: StateClient, fence: Callable[[], Fence | None]) -> None:
--- a/petrelthread/leadership/election.py
+++ b/petrelthread/leadership/election.py
@@ -162,8 +162,8 @@
         self._wake.set()
 
     def _on_epoch_key(self, epoch: int, revision: int) -> None:
-        # Does not change the role: the leader key, which is written in the same transaction, shows
-        # which controller has the epoch.
+        # A change of this key does not change the role: the leader key, which is written in the
+        # same transaction, shows which controller has the epoch.
         self._stored_epoch, self._stored_epoch_revision = epoch, revision
         self.highest_known_epoch = max(self.highest_known_epoch, epoch)
 
--- a/petrelthread/leadership/leader_lease.py
+++ b/petrelthread/leadership/leader_lease.py
@@ -24,7 +24,8 @@
     """
 
     lease_id: int | None = None  # None before the first election
-    renewed_at: float = 0.0  # event loop time; when the latest successful grant or renewal was sent
+    # Event loop time at which the latest successful request for a grant or renewal was sent.
+    renewed_at: float = 0.0
 
     @property
     def expires_at(self) -> float:
--- a/petrelthread/leadership/test_claim_writer.py
+++ b/petrelthread/leadership/test_claim_writer.py
@@ -1,4 +1,4 @@
-"""Claims that are rejected or unanswered, or whose epoch ends before they are written."""
+"""Claims that are rejected or get no response, or whose epoch ends before they are written."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
     run_in_virtual_time(main())
 
 
-def test_an_unanswered_claim_is_fenced_rather_than_retried_in_a_later_epoch() -> None:
+def test_a_claim_without_response_is_fenced_rather_than_retried_in_a_later_epoch() -> None:
     """The claim is based on the state known in the epoch in which it was requested.
 
-    The controller loses the leadership and is elected again while the claim is unanswered, so
+    The controller loses the leadership and is elected again while the claim is in flight, so
     another leader may have placed tasks in between.
     """
     fences = [Fence(1, [protocol.Condition("pt/lead", 7)])]
--- a/petrelthread/scheduling/bin_packing.py
+++ b/petrelthread/scheduling/bin_packing.py
@@ -152,7 +152,8 @@
     machine rule alone, all replicas would go to one machine that caches their image.
     """
     request, occupancy = placement.request, placement.request.occupancy
-    # Only machines with replicas and the best ``max_tasks`` others of a group can be chosen.
+    # Only machines with replicas and, in each group of the index, the best ``max_tasks`` others can
+    # be chosen.
     count = max_tasks + len(occupancy.machines)
     candidates = index.best_candidates(request, count, zone)
     while len(placement.machines) < max_tasks:
--- a/petrelthread/scheduling/capacity_index.py
+++ b/petrelthread/scheduling/capacity_index.py
@@ -183,9 +183,10 @@
     ) -> list[MachineCapacity]:
         """Fitting machines of one group that cache the image, at least the ``count`` most free.
 
-        Both iterations, over the machines by free capacity and over those that cache the image, end
-        at the latest after the length of the shorter list. If many machines cache the image, the
-        first few by free capacity include enough of them; if few do, these few are examined.
+        The first iteration, by free capacity, ends at the latest after as many machines as cache
+        the image. The second, over the machines that cache the image, runs only if they are fewer
+        than the machines with enough cores. If many machines cache the image, the first few by free
+        capacity include enough of them; if few do, these few are examined.
         """
         with_cores = group.count_with_cores(request.cores)
         candidates: list[MachineCapacity] = []
@@ -246,9 +247,9 @@
     def most_free(
         self, request: PlacementRequest, machine_types: Collection[int], exclude: Collection[int]
     ) -> MachineCapacity | None:
-        """The allowed machine of these types with most free capacity, even if no task fits.
+        """The allowed machine of these types with the most free capacity, even if no task fits.
 
-        ``exclude``: indexes of machines that must not be chosen.
+        ``exclude``: indices of machines that must not be chosen.
         """
         candidates = []
         for group in self._groups.values():
--- a/petrelthread/scheduling/claim_builder.py
+++ b/petrelthread/scheduling/claim_builder.py
@@ -220,8 +220,8 @@
 def _split_gangs(packed: list[RoundRecord], starts: list[Start], max_records: int) -> set[str]:
     """Ids of gangs with starts in records after the first ``max_records``.
 
-    A gang that is alone and still too large for one claim is not included: it can't start
-    otherwise.
+    A gang that is the only job with starts is not included, even if it is too large for one claim:
+    it could not start otherwise.
     """
     postponed_jobs = {job_id for job_id, _ in _started_tasks(packed[max_records:])}
     gangs = {start.job.id for start in starts if start.job.is_gang}
--- a/petrelthread/scheduling/free_capacity.py
+++ b/petrelthread/scheduling/free_capacity.py
@@ -39,7 +39,7 @@
         self.usable = CapacityIndex()
         self.cordoned_spot = CapacityIndex()
         # Type of each machine that accepts work or is booting, and number of these machines by
-        # type. They count even before they acknowledge the current epoch.
+        # type. A machine counts even before it acknowledges the current epoch.
         self._type_by_machine: dict[int, int] = {}
         self._count_by_type: Counter[int] = Counter()
 
--- a/petrelthread/scheduling/guarantees.py
+++ b/petrelthread/scheduling/guarantees.py
@@ -21,7 +21,7 @@
     In the order of acceptance, a job is within the guarantee if its request fits in what the team's
     earlier guaranteed jobs leave. The whole job counts, including finished tasks: otherwise a large
     job would come within the guarantee as its tasks finish, and tasks of other jobs would be
-    preempted for its last few.
+    preempted for its last few tasks.
 
     Args:
         entries: all unfinished jobs.
--- a/petrelthread/scheduling/machine_capacity.py
+++ b/petrelthread/scheduling/machine_capacity.py
@@ -11,7 +11,7 @@
 class MachineCapacity:
     """Free capacity of one machine, and the properties that decide which requests may use it.
 
-    ``images`` holds the indexes of the images that the machine caches or is going to fetch.
+    ``images`` holds the indices of the images that the machine caches or is going to fetch.
     """
 
     __slots__ = (
--- a/petrelthread/scheduling/placement_request.py
+++ b/petrelthread/scheduling/placement_request.py
@@ -18,7 +18,7 @@
         pending: number of tasks to place with this request.
         cores: needed by one task, like ``accelerators`` and ``ram_gb``.
         image: index of the image that its tasks run.
-        machine_types: indexes of the machine types that it may use; None for all.
+        machine_types: indices of the machine types that it may use; None for all.
         zone: the only zone that it may use; None for all.
         spot_allowed: whether it may use spot machines.
         single_zone: all tasks have to be in one zone.
--- a/petrelthread/scheduling/preemption_candidates.py
+++ b/petrelthread/scheduling/preemption_candidates.py
@@ -9,7 +9,8 @@
 from petrelthread.scheduling.preemption_rules import Victim
 from petrelthread.state import Attempt, ClusterState, Job, OperationState
 
-# An attempt whose stop was requested longer ago does not count as about to free its capacity.
+# An attempt whose stop was requested longer ago than this does not count as about to free its
+# capacity.
 STOP_TIMEOUT_S = 5.0
 
 
@@ -35,7 +36,7 @@
 
 
 def preemptible_tasks(cluster_state: ClusterState, now: float) -> list[Victim]:
-    """All running tasks that the rules allow to preempt for some job."""
+    """All running tasks that may be preempted for some job."""
     wall_now = time.time()
     return [
         _victim(attempt, now)
@@ -49,7 +50,8 @@
 
 def _is_preemptible(job: Job, wall_now: float) -> bool:
     if job.is_gang or job.is_service:
-        return False  # a gang would lose all its tasks; a replica would be restarted first
+        # A gang would lose all its tasks. A replica would be placed again before other jobs.
+        return False
     # The first and only task of a job that started overdue is never preempted. It has just started,
     # so its preemption would cost least and it would be preempted repeatedly.
     is_first_task = len(job.live_attempts) == 1 and not job.finished_count
--- a/petrelthread/scheduling/reservations.py
+++ b/petrelthread/scheduling/reservations.py
@@ -27,7 +27,7 @@
     Args:
         requests: those of the overdue jobs, in scheduling order.
         index: the machines that may be used.
-        fitting_machine_types: returns the machine types on which a task fits if they are empty.
+        fitting_machine_types: returns the types of machine on which, if empty, a task fits.
         quotas: quota headroom by team index.
         previous: earlier reservations; each is kept as long as its machine is suitable.
 
--- a/petrelthread/scheduling/scheduler.py
+++ b/petrelthread/scheduling/scheduler.py
@@ -120,7 +120,7 @@
         return decision
 
     async def run_round(self, now: float) -> bool:
-        """Decide and claim one round. Returns whether another round should follow at once."""
+        """Decide and claim one round. Returns whether another round should follow immediately."""
         stops = attempts_unfinished_at_reclaim(self._fleet, self._view.estimates, now)
         decision = self.decide(now)
         claim = self.claim_builder.build(decision.starts, stops + decision.preemptions, now)
--- a/petrelthread/scheduling/test_free_capacity.py
+++ b/petrelthread/scheduling/test_free_capacity.py
@@ -159,7 +159,7 @@
                 machine.use_image(self.random.randrange(9), 3.0, 10.0)
 
     def begin_epoch(self) -> None:
-        """Start a new epoch in 3 % of calls; a third of the machines, not recorded, are dropped."""
+        """Start a new epoch in 3 % of calls; unrecorded machines, a third of all, are dropped."""
         if self.random.random() < 0.03:
             keep = [m.name for m in self.cluster.fleet.machines.values() if m.index % 3]
             self.cluster.fleet.begin_leadership(self.cluster.fleet.epoch + 1, now(), keep)
--- a/petrelthread/scheduling/test_job_order.py
+++ b/petrelthread/scheduling/test_job_order.py
@@ -37,7 +37,7 @@
 
 def test_order_is_by_guarantee_then_priority_then_latest_start() -> None:
     jobs = [
-        started_entry(0, 0, 1, 10.0, [500.0], 5.0)._replace(remaining_core_s=2000.0),  # 200 s
+        started_entry(0, 0, 1, 10.0, [500.0], 5.0)._replace(remaining_core_s=2000.0),  # runs 200 s
         started_entry(1, 1, 2, 11.0, [400.0], 5.0),
         started_entry(2, 2, 2, 12.0, [300.0], 5.0),
         started_entry(3, 3, 0, 13.0, [], 5.0)._replace(requested_cores=4.0),  # guaranteed
@@ -75,7 +75,7 @@
 def test_earlier_jobs_of_team_count_against_its_guarantee() -> None:
     jobs = [
         started_entry(0, 0, 1, 1.0, [], 1.0)._replace(requested_cores=6.0),
-        started_entry(1, 0, 1, 2.0, [], 1.0)._replace(requested_cores=4.0),  # exceeds it
+        started_entry(1, 0, 1, 2.0, [], 1.0)._replace(requested_cores=4.0),  # exceeds 8 cores
         started_entry(2, 0, 1, 3.0, [], 1.0)._replace(requested_cores=2.0),
     ]
     order = order_jobs(jobs, [Guarantee(8.0, 0.0)], 0.0)
--- a/petrelthread/scheduling/test_start_validator.py
+++ b/petrelthread/scheduling/test_start_validator.py
@@ -65,7 +65,7 @@
 def test_task_in_unknown_zone_counts_in_every_zone(
     cluster: Cluster, flag: str, violation: Violation
 ) -> None:
-    """After a failover, a machine may not be listed yet or not known at all."""
+    """After a failover, a machine may not be listed by the cloud yet, or may be unknown."""
     case = Case(cluster, **{flag: True})
     unlisted = cluster.fleet.get_or_add("host-000009", 0.0)
     case.add_live_attempt(0, unlisted)
--- a/petrelthread/state/attempt_table.py
+++ b/petrelthread/state/attempt_table.py
@@ -91,7 +91,7 @@
         return previous
 
     def settle_round(self, number: int) -> None:
-        """Release all attempts of a round that was not sent or has ended, and keep its entry."""
+        """Release all attempts of a round that was not sent or was settled; keep its entry."""
         self.remove_round(number)
         self.attempts_by_round[number] = set()
 
--- a/petrelthread/state/cluster_state.py
+++ b/petrelthread/state/cluster_state.py
@@ -218,7 +218,7 @@
                         continue
                     older = job.live_attempts.get(task)
                     if older is not None:
-                        # A leader starts a task again only after the older attempt was settled.
+                        # A leader starts a task again only if its older attempt can't run any more.
                         if older.number > number:
                             continue
                         self.release(older)
--- a/petrelthread/state/job.py
+++ b/petrelthread/state/job.py
@@ -15,10 +15,10 @@
 TASK_LIVE = 1  # has an attempt that may be running
 TASK_FINISHED = 2
 
-TaskKey = tuple[int, int]  # index of the job, number of the task
+TaskKey = tuple[int, int]  # index of the job, index of the task
 
-# Event loop time in seconds that stands for an unknown time of a stop; it is long before any that a
-# controller reads.
+# Event loop time in seconds that stands for an unknown time of a stop; it is long before any time
+# that a controller reads from its event loop.
 STOP_TIME_UNKNOWN = 1.0
 
 
@@ -142,7 +142,7 @@
             the job has a final status.
         live_attempts: by task.
         finished_count: number of finished tasks.
-        finished_task_records: numbers of the records that hold its finished tasks.
+        finished_task_records: numbers of the records that contain its finished tasks.
         failing_tasks: tasks whose last attempt failed.
         suspect_since: event loop time at which it last became suspect, that is, began to fail
             everywhere; 0 if never.
@@ -205,7 +205,7 @@
         Args:
             ran_s: how long it has run, in seconds.
             stopped: whether it gets a stop command and can save a checkpoint; otherwise it ends
-                without notice, for example because its machine is lost.
+                without notice, for example because its machine fails.
         """
         if self.checkpoint_interval_s <= 0:
             return ran_s
--- a/petrelthread/state/stored_records.py
+++ b/petrelthread/state/stored_records.py
@@ -89,7 +89,7 @@
             machine_types=None if spec.machine_types is None else list(spec.machine_types),
             zone=spec.zone,
             flags=_flags(spec),
-            # ``parse_job`` never returns None in the next three.
+            # ``parse_job`` never returns None in the next three fields.
             estimated_run_s=cast("float", spec.estimated_run_s),
             checkpoint_interval_s=cast("float", spec.checkpoint_interval_s),
             grace_period_s=cast("float", spec.grace_period_s),
--- a/petrelthread/state/test_cluster_state.py
+++ b/petrelthread/state/test_cluster_state.py
@@ -51,9 +51,9 @@
     action = randomness.random()
     job = randomness.choice(cluster_state.jobs)
     if action < 0.5:
-        free = [task for task in range(job.task_count) if task not in job.live_attempts]
-        if free:
-            task, machine = randomness.choice(free), randomness.choice(MACHINES)
+        without_attempt = [task for task in range(job.task_count) if task not in job.live_attempts]
+        if without_attempt:
+            task, machine = randomness.choice(without_attempt), randomness.choice(MACHINES)
             attempts.append(cluster_state.add_attempt(number, job, task, machine, 1))
         return
     if not attempts:
