--- a/petrelthread/fleet/command_dispatcher.py
+++ b/petrelthread/fleet/command_dispatcher.py
@@ -153,7 +153,7 @@
         ]
 
     def _mark_unanswered(self, starts: list[Attempt], request_sent: bool) -> None:
-        """Record that no response came; if the request was sent, it may still arrive."""
+        """Record that no response came. A request that was sent may still reach the worker."""
         for attempt in starts:
             if not request_sent:
                 self._fleet.unacknowledged_starts.on_acknowledged(attempt)
--- a/petrelthread/fleet/failure_detector.py
+++ b/petrelthread/fleet/failure_detector.py
@@ -1,6 +1,6 @@
 """Detection of unresponsive machines, and of machines whose tasks are lost.
 
-Three decisions, each on its own evidence:
+The module makes three decisions, each from different evidence:
 
 - *Unresponsive*: the machine sends no heartbeats within the heartbeat timeout or does not respond
   to reads by a new leader (``FailureDetector.check``), or it does not respond to probes
@@ -96,8 +96,9 @@
     def _mark_if_unreadable(self, machine: Machine, now: float) -> bool:
         """Mark a machine with attempts unresponsive after failed reads. Returns whether it is.
 
-        This applies to machines that have not acknowledged this epoch. It takes less time than the
-        heartbeat timeout, so that the machine is returned and its tasks start elsewhere sooner.
+        This applies to machines that have not acknowledged this epoch. Failed reads take less time
+        than the heartbeat timeout, so the machine is scaled in and its tasks start elsewhere
+        sooner.
         """
         fleet = self._fleet
         has_attempts = machine.index in fleet.cluster_state.attempts_by_machine
@@ -123,7 +124,7 @@
             machine.quarantine_reason = machine.partition_reason
 
     def _expire_leases(self, now: float) -> None:
-        """Mark the machines lost whose worker's lease has certainly expired."""
+        """Mark a machine as lost if its worker's lease has certainly expired."""
         for index in list(self._fleet.cluster_state.attempts_by_machine):
             machine = self._fleet.machines.get(index)
             # A lease lasts at least ``lease_s`` from its newest renewal. This check comes first
--- a/petrelthread/fleet/heartbeat_handler.py
+++ b/petrelthread/fleet/heartbeat_handler.py
@@ -72,8 +72,8 @@
             None if the heartbeat is answered, which renews the worker's lease. Otherwise the
             response to send instead. Its status is 421 if this controller may not answer workers;
             its body then names the leader, if another controller leads. Its status is 503 if the
-            worker's lease has to expire: a direct start may still reach the machine, and its job
-            was last known to have no final status longer ago than the lease grace period.
+            worker's lease has to expire: a direct start may still reach the machine, and the lease
+            grace period has passed since its job was last known to have no final status.
         """
         election = self._election
         if not election.may_answer_workers:
--- a/petrelthread/fleet/heartbeat_reconciler.py
+++ b/petrelthread/fleet/heartbeat_reconciler.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 # Consecutive heartbeats that lack an already delivered start, after which an asymmetric partition
-# of the machine is assumed.
+# of the machine is suspected.
 MAX_IGNORED_STARTS = 3
 
 
@@ -53,7 +53,8 @@
             answered: Whether a response is sent that renews the worker's lease.
 
         Returns:
-            The machine; None if the heartbeat is stale, so that its task list is no evidence.
+            The machine; None if the heartbeat is stale or the machine is terminated, so that the
+            task list is no evidence.
         """
         machine = self._registry.get_or_add(heartbeat.machine_name, now)
         if (heartbeat.incarnation, heartbeat.sequence_number) <= (
@@ -82,7 +83,7 @@
         return machine
 
     def _on_new_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
-        """Supersede the attempts and starts that the worker's restart has ended."""
+        """Supersede the attempts, and invalidate the starts, of the incarnation that has ended."""
         self._leases.on_incarnation_ended(machine, now)
         reason = f"{machine.name} began incarnation {incarnation}"
         for attempt in list(self._registry.attempts_on(machine).values()):
--- a/petrelthread/fleet/job_failures.py
+++ b/petrelthread/fleet/job_failures.py
@@ -68,7 +68,7 @@
         }
 
     def cleared_suspects(self) -> list[str]:
-        """Return the ids of jobs that have a record but have ended or are no longer suspect."""
+        """Return the ids of jobs that have a record but have finished or are no longer suspect."""
         cleared = []
         for job_id in self._cluster_state.machines_by_suspect_job:
             job = self._cluster_state.jobs_by_id.get(job_id)
@@ -85,7 +85,7 @@
     # ---- events ----------------------------------------------------------------------------------
 
     def on_completed(self, machine: Machine, job: Job, task: int) -> None:
-        """Record a completed task, or a replica that ran long enough to show its job works."""
+        """Record a completed task, or a replica that ran long enough to prove its job."""
         was_suspect = self.is_suspect(job)
         self._quarantine(self._attribution.on_completed(job.index, machine.index))
         job.failing_tasks.discard(task)
--- a/petrelthread/fleet/machine.py
+++ b/petrelthread/fleet/machine.py
@@ -27,7 +27,8 @@
     BOOTING = "booting"  # rented or listed by the cloud; no heartbeat received yet
     UP = "up"
     DRAINING = "draining"  # the cloud will reclaim it soon; no new work is placed on it
-    UNRESPONSIVE = "silent"  # heartbeat, reads or probes failed; its tasks may still run
+    # It sent no heartbeat in time, or did not respond to reads or probes; its tasks may still run.
+    UNRESPONSIVE = "silent"
     TERMINATING = "returning"  # its scale-in is recorded or sent, but not confirmed
     TERMINATED = "gone"  # the cloud has confirmed the scale-in
 
@@ -71,7 +72,7 @@
     index: int  # among the interned machine names
     name: str
     now: InitVar[float]
-    # Gets the machine's index added whenever a scheduling field changes.
+    # The machine's index is added to this set whenever a scheduling field changes.
     changed_machines: set[int] = field(default_factory=set, repr=False)
     address: str = ""  # host:port of the worker; empty while unknown
     machine_type: int = -1  # among the interned type names; -1 while unknown
@@ -152,7 +153,7 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether its health allows new work, apart from fencing; see ``Fleet.is_schedulable``."""
+        """Whether it is UP, and neither quarantined nor suspected of an asymmetric partition."""
         return self.health is Health.UP and not self.quarantine_reason and not self.partition_reason
 
     def use_image(self, image: int, size_gb: float, cache_gb: float) -> None:
--- a/petrelthread/fleet/machine_registry.py
+++ b/petrelthread/fleet/machine_registry.py
@@ -48,14 +48,14 @@
     def is_schedulable(self, machine: Machine) -> bool:
         """Whether work may be placed on the machine.
 
-        Its worker must reject commands of former leaders, so it must have acknowledged this epoch,
-        or the machine must have been rented in it.
+        Its worker must reject commands of former leaders. So the worker must have acknowledged this
+        epoch, or the machine must have been rented in this epoch.
         """
         fenced = machine.acknowledged_epoch == self.epoch or self.is_rented_in_this_epoch(machine)
         return machine.accepts_work and fenced
 
     def is_rented_in_this_epoch(self, machine: Machine) -> bool:
-        """Whether this leader rented it, so that no other leader can have answered its worker."""
+        """Whether this leader rented it: no other leader can then have answered its worker."""
         return machine.scale_out_key.startswith(KeyKind.SCALE_OUT.key(f"{self.epoch}-"))
 
     def begin_epoch(self, epoch: int, now: float, recorded_machines: Collection[str]) -> None:
--- a/petrelthread/fleet/test_failure_detector.py
+++ b/petrelthread/fleet/test_failure_detector.py
@@ -13,7 +13,7 @@
     return machine.health is Health.UNRESPONSIVE
 
 
-def test_machines_are_not_quarantined_if_most_are_partitioned_at_once(
+def test_machines_are_not_quarantined_if_most_are_partitioned(
     fleet: Fleet, failure_detector: FailureDetector
 ) -> None:
     for n in range(4):
--- a/petrelthread/fleet/test_task_reconciler.py
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -70,7 +70,7 @@
 def test_unrecorded_running_task_is_adopted_and_counted(
     fleet: Fleet, command_planner: CommandPlanner
 ) -> None:
-    """If it were released at once, its task could be started elsewhere while it runs."""
+    """If it were released immediately, its task could be started elsewhere while it runs."""
     fleet.on_heartbeat(heartbeat(1), 100.5, answered=True)
     with_task = heartbeat(2, tasks=[running(attempt_number(epoch=EPOCH - 1))])
     machine = fleet.on_heartbeat(with_task, 101.0, answered=True)
--- a/petrelthread/fleet/test_unacknowledged_starts.py
+++ b/petrelthread/fleet/test_unacknowledged_starts.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("how", ["cancelled", "stopped"])
-def test_token_is_raised_at_once_for_unwanted_start(sent: SentStart, how: str) -> None:
+def test_token_is_raised_for_unwanted_start_once_unanswered(sent: SentStart, how: str) -> None:
     if how == "cancelled":
         sent.cancel()
     else:
--- a/petrelthread/fleet/test_worker_lease.py
+++ b/petrelthread/fleet/test_worker_lease.py
@@ -25,8 +25,8 @@
 def test_heartbeat_with_older_token_does_not_end_grace_period_of_former_leader(
     fleet: Fleet, failure_detector: FailureDetector, at: float
 ) -> None:
-    # The heartbeat may be a delayed copy, while a former leader that is cut off only from the state
-    # service still renews the worker's lease.
+    # The heartbeat may be a delayed copy, while a former leader that reaches the workers, but not
+    # the state service, still renews the worker's lease.
     machine, attempt = add_attempt(fleet, OLD_ATTEMPT)
     fleet.on_heartbeat(heartbeat(7, EPOCH - 1), at, answered=True)
     assert fleet.lease_expires_at(machine) >= ELECTED_AT + LEASE_GRACE_S + LEASE_S
--- a/petrelthread/fleet/test_worker_status_reader.py
+++ b/petrelthread/fleet/test_worker_status_reader.py
@@ -21,7 +21,7 @@
     ids=["in-time", "late-event-loop"],
 )
 def test_new_leader_reads_a_limited_number_of_workers_at_a_time(late_s: float, limit: int) -> None:
-    """Reading all at once would block the event loop until the leader's lease expires."""
+    """Reading all in one call would block the event loop until the leader's lease expires."""
     requested: list[str] = []
 
     async def request(
--- a/petrelthread/fleet/unacknowledged_starts.py
+++ b/petrelthread/fleet/unacknowledged_starts.py
@@ -57,15 +57,15 @@
 
 log = logging.getLogger(__name__)
 
-# Minimum time between two raises of the token, in leases. PROTOCOL lets a worker that sees a higher
-# token send a heartbeat immediately, but at most this often.
+# Minimum time between two raises of the token, in lease durations. PROTOCOL lets a worker that sees
+# a higher token send a heartbeat immediately, but at most this often.
 RAISE_INTERVAL_LEASES = 0.5
 # Upper bound on that time, as a share of the lease grace period. The rest of the period has to
 # suffice for writing the token and answering heartbeats.
 RAISE_INTERVAL_GRACE_SHARE = 1 / 3
 MIN_RAISE_INTERVAL_S = 1.0
-# Age, in leases, at which a start that is still wanted is invalidated. Until then it only delays
-# the forget command for its attempt.
+# Age, in lease durations, at which a start that is still wanted is invalidated. Until then, the
+# start only delays the forget command for its attempt.
 STALE_AFTER_LEASES = 4.0
 # The part of the cancellation deadline that ``Settings.lease_grace_s`` leaves for messages.
 CANCELLATION_MARGIN_S = 3.0
@@ -100,9 +100,9 @@
 
     @property
     def is_unwanted(self) -> bool:
-        """Whether it may still take effect although its job has ended or a stop is requested."""
-        ended = self.attempt.job.final_status is not None or self.attempt.stop_requested_at > 0
-        return ended and not self.listed and self.attempt.state is not OperationState.CONFIRMED
+        """Whether it may still take effect although its job has finished or a stop is requested."""
+        unneeded = self.attempt.job.final_status is not None or self.attempt.stop_requested_at > 0
+        return unneeded and not self.listed and self.attempt.state is not OperationState.CONFIRMED
 
     def __str__(self) -> str:
         attempt = self.attempt
@@ -141,7 +141,7 @@
         self._by_machine: dict[int, dict[StartKey, UnacknowledgedStart]] = {}
         self._raise_attempted_at = float("-inf")
         self._state_current_as_of = state_current_as_of
-        # Number of starts possible past the cancellation deadline; should stay 0.
+        # Starts that could be executed past the cancellation deadline of their job; should stay 0.
         self.past_deadline_count = 0
 
     # ---- steps of the life cycle -----------------------------------------------------------------
@@ -152,7 +152,7 @@
         """Track a start that is sent directly to its machine now.
 
         Args:
-            attempt: Its job has no final status.
+            attempt: The attempt to start; its job has no final status.
             machine: The name of its machine.
             token: The fencing token of the command.
             now: Event loop time.
--- a/petrelthread/fleet/worker_lease.py
+++ b/petrelthread/fleet/worker_lease.py
@@ -17,7 +17,7 @@
 
 CLOCK_DRIFT_FACTOR = 1.002  # maximum ratio of a duration on a worker's clock to one on this clock
 LEASE_MARGIN_S = 0.5
-# Losses of a worker's lease less than this many leases apart count as consecutive.
+# Losses of a worker's lease less than this many lease durations apart count as consecutive.
 REPEATED_LOSS_WINDOW_LEASES = 1.5
 
 
@@ -33,7 +33,7 @@
         """Create the tracker of worker leases.
 
         Args:
-            registry: Holds this leader's epoch and when it was elected.
+            registry: Provides the epoch and time of this leader's election.
             lease_s: The duration of a worker's lease.
             lease_grace_s: How long a former leader may answer heartbeats after it lost leadership.
         """
--- a/petrelthread/fleet/worker_status_reader.py
+++ b/petrelthread/fleet/worker_status_reader.py
@@ -51,9 +51,9 @@
         """Read some of the workers that have not acknowledged this epoch.
 
         Until a worker has acknowledged it, nothing may be placed on its machine, and a worker whose
-        controller hangs takes seconds to find this one. The number is limited because each read
-        takes time on the event loop, which also has to renew the leader's lease. Most workers send
-        a heartbeat without being read.
+        controller hangs takes seconds to find this controller. The number of reads is limited
+        because each takes time on the event loop, which also has to renew the leader's lease. Most
+        workers send a heartbeat without being read.
 
         Args:
             now: Event loop time.
--- a/petrelthread/fleet/zone_monitor.py
+++ b/petrelthread/fleet/zone_monitor.py
@@ -9,8 +9,9 @@
 
 MISSED_HEARTBEATS = 2.5  # heartbeat intervals without any heartbeat that make a zone unreachable
 LEADER_DISCOVERY_S = 5.0  # added to the timeout while workers look for a new leader
-LEADER_DISCOVERY_PERIODS = 3  # for how many LEADER_DISCOVERY_S the timeout is longer
-# In a zone without controllers, missing heartbeats of fewer machines are no evidence.
+# The timeout is longer for this many LEADER_DISCOVERY_S after an election or a resumption.
+LEADER_DISCOVERY_PERIODS = 3
+# In a zone without controllers, missing heartbeats of fewer machines than this are no evidence.
 MIN_MACHINES_AS_EVIDENCE = 4
 RETRY_AFTER_S = 30.0  # after this time, a zone without controllers counts as reachable again
 
--- a/petrelthread/provisioning/boot_monitor.py
+++ b/petrelthread/provisioning/boot_monitor.py
@@ -12,7 +12,7 @@
 # the cloud's list of machines.
 BOOT_TIMEOUT_LIST_LAGS = 2.0
 UNKNOWN_TYPE_BOOT_S = 60.0  # assumed boot time if the machine type is unknown
-LEADER_DISCOVERY_S = 5.0  # time to find a new leader, added to two heartbeat intervals
+LEADER_DISCOVERY_S = 5.0  # time for workers to find a new leader, added to two heartbeat intervals
 
 
 class BootMonitor:
@@ -28,7 +28,7 @@
         self._first_heartbeat_s = 2 * settings.cluster.workers.report_s + LEADER_DISCOVERY_S
 
     def is_late(self, machine: Machine, now: float) -> bool:
-        """Whether the machine boots for so long that it no longer counts as capacity.
+        """Whether the machine has been booting for so long that it no longer counts as capacity.
 
         A new leader cannot tell an idle machine from a booting one before the machine's first
         heartbeat, so no machine counts as late until that heartbeat could have arrived.
@@ -46,7 +46,7 @@
         return sum(self.is_late(machine, now) for machine in self._fleet.machines.values())
 
     def has_timed_out(self, machine: Machine, now: float) -> bool:
-        """Whether the machine boots for so long that it is to be scaled in."""
+        """Whether the machine has been booting for so long that it is to be scaled in."""
         if machine.health is not Health.BOOTING:
             return False
         machine_type = self._machine_types.get(machine.machine_type)
--- a/petrelthread/provisioning/demand.py
+++ b/petrelthread/provisioning/demand.py
@@ -17,9 +17,9 @@
 EXPECTED_MACHINES = 4  # minimum number for unseen urgent classes, in all zones together
 # Multiple of the usual boot time after which a booting machine does not count as capacity.
 LATE_BOOT_FACTOR = 1.6
-MAX_PROBED_MACHINES = 6  # a suspect job that has failed on more machines demands none
+MAX_MACHINES_FAILED_ON = 6  # a suspect job that has failed on more machines demands none
 UNKNOWN_BOOT_S = 30.0  # assumed boot time while the catalog is unknown
-MAX_RUN_PROGRESS = 0.9  # maximum share of its expected run time that a running task counts as done
+MAX_RUN_PROGRESS = 0.9  # maximum share of a running task's expected run time that counts as done
 
 
 class TeamQuota:
@@ -93,7 +93,7 @@
         return self._urgent_arrivals.expected_cores(now, self._max_boot_s())
 
     def service_reserve_cores(self, now: float) -> float:
-        """Cores for replicas of services that may arrive, and of those in a lost zone."""
+        """Cores for replicas of services that may arrive, and for replicas of a lost zone."""
         return service_reserve_cores(
             self._service_arrivals,
             now,
@@ -132,7 +132,7 @@
             # A suspect job is retried on machines that are up. Only its first few attempts may
             # demand another machine, in case none is up and the job did not cause the failures.
             failed_on = len(self._fleet.job_failures.failed_on(job))
-            return 0 if failed_on > MAX_PROBED_MACHINES else 1
+            return 0 if failed_on > MAX_MACHINES_FAILED_ON else 1
         return unfinished
 
     def _array_demand(
@@ -193,7 +193,7 @@
     def _expected_demands(self) -> list[Demand]:
         """On-demand capacity in each zone, if an urgent job class has had no job so far.
 
-        It applies to classes whose jobs must start before a booting machine counts as late. Until
+        This is for classes whose jobs must start before a booting machine counts as late. Until
         the first job arrives, it is unknown whether the class accepts spot machines.
         """
         if not self._cluster_state.open_jobs or not self._has_unseen_urgent_class():
@@ -222,7 +222,7 @@
         ]
 
     def _has_unseen_urgent_class(self) -> bool:
-        """Whether a class without any job must start before a booting machine counts as late."""
+        """Whether jobs of a class not seen yet must start before a booting machine is late."""
         boot_times_s = (machine_type.boot_s for machine_type in self._machine_types.values())
         late_s = LATE_BOOT_FACTOR * min(boot_times_s, default=0.0)
         seen_classes = {job.job_class for job in self._cluster_state.jobs}
--- a/petrelthread/provisioning/list_reconciliation.py
+++ b/petrelthread/provisioning/list_reconciliation.py
@@ -17,7 +17,7 @@
 class ListReconciler:
     """Reads the list periodically, and records which machines are new, failed or missing.
 
-    Times are those of the event loop's clock at which a list was requested.
+    Times are event loop times at which a list was requested.
     """
 
     def __init__(self, context: ProvisioningContext) -> None:
@@ -28,7 +28,7 @@
         self.last_success_at = float("-inf")
 
     def begin_epoch(self) -> None:
-        """Make the next list due at once."""
+        """Make the next list due immediately."""
         self._last_read_at = float("-inf")
 
     @property
@@ -74,7 +74,7 @@
     def _check_presence(machine: Machine, listed_names: set[str]) -> None:
         missing = machine.listed and machine.name not in listed_names
         machine.missing_from_lists = machine.missing_from_lists + 1 if missing else 0
-        # A single list without the machine is no evidence: it may be older than the list before.
+        # A single list without the machine is no evidence: it may be older than the previous list.
         unlisted = machine.missing_from_lists > 1 and not machine.quarantine_reason
         if unlisted and machine.health not in (Health.TERMINATED, Health.TERMINATING, Health.UP):
             machine.quarantine_reason = "no longer listed"
--- a/petrelthread/provisioning/offer_backoff.py
+++ b/petrelthread/provisioning/offer_backoff.py
@@ -11,7 +11,7 @@
 
 
 class _Backoff(NamedTuple):
-    until: float  # time of the event loop's clock
+    until: float  # event loop time
     delay_s: float
 
 
--- a/petrelthread/provisioning/operations.py
+++ b/petrelthread/provisioning/operations.py
@@ -16,7 +16,7 @@
 class CloudOperation:
     """One call to the cloud that is recorded in the state service before it is sent.
 
-    Times are those of the event loop's clock.
+    Times are event loop times.
     """
 
     __slots__ = ("idempotency_key", "in_flight", "retry_at", "state", "unknown_at")
@@ -49,7 +49,7 @@
 
 
 class ScaleInOperation(CloudOperation):
-    """A request to terminate machines."""
+    """A request to scale in machines."""
 
     __slots__ = ("machine_names",)
 
--- a/petrelthread/provisioning/plan.py
+++ b/petrelthread/provisioning/plan.py
@@ -54,7 +54,7 @@
 class Demand(NamedTuple):
     """Machines needed by one job, or by jobs that are expected."""
 
-    tasks: int  # number that the quota permits at once, running ones included
+    tasks: int  # number that the quota permits at the same time, running ones included
     work_s: float  # remaining run time of all unfinished tasks
     deadline_in_s: float  # time left until the deadline
     cores: float  # per task
--- a/petrelthread/provisioning/planner.py
+++ b/petrelthread/provisioning/planner.py
@@ -281,7 +281,7 @@
         """Assign owned machines to a group, and return the cores that it has.
 
         Machines beyond the target for schedulable cores count as capacity, but stay unassigned:
-        their running tasks continue, and they get no new ones.
+        they finish their running tasks and get no new ones.
         """
         assigned_cores = schedulable_cores = 0.0
         for machine in list(self._unassigned.values()):
@@ -302,7 +302,8 @@
                 schedulable_cores += cores - machine.occupied_cores
                 del self._unassigned[machine.machine_index]
         if schedulable_cores < targets.schedulable - CORES_EPSILON:
-            # The pending work exceeds the free cores: machines of ending jobs are needed for it.
+            # The pending work exceeds the free cores, so it also needs the machines of jobs without
+            # pending tasks.
             for machine in list(self._unassigned.values()):
                 is_fallback = spot_allowed and not machine.spot
                 if not is_fallback and usable.on(machine) > 0:
--- a/petrelthread/provisioning/provisioner.py
+++ b/petrelthread/provisioning/provisioner.py
@@ -158,7 +158,7 @@
     async def _scale_out(self, plan: Plan, now: float) -> float:
         """Scale out, and plan again while offers fall short. Returns the time of the last plan.
 
-        Machines that one offer does not give are thus requested from the next one at once.
+        Machines that one offer does not give are thus requested from the next one immediately.
         """
         requests = plan.scale_outs
         for _ in range(MAX_REPLANS):
@@ -191,7 +191,7 @@
             await self.scale_out.send(operation, now)
         elif is_old and self._reconciler.last_success_at > operation.unknown_at:
             # Its machines are no longer needed, or later plans have requested replacements. Sending
-            # it again could scale out surplus machines. Machines that it gave appear in the list.
+            # it again could scale out surplus machines. Machines granted to it appear in the list.
             log.info(
                 "operation superseded: scale-out %s, no longer needed", operation.idempotency_key
             )
--- a/petrelthread/provisioning/reserve.py
+++ b/petrelthread/provisioning/reserve.py
@@ -63,7 +63,7 @@
 
     Args:
         spread_cores: Cores of the services that are spread over all zones.
-        zones: How many zones are up.
+        zones: How many zones are reachable.
     """
     if zones < MIN_ZONES_TO_RELOCATE:
         return 0.0
@@ -73,7 +73,7 @@
 def service_reserve_cores(
     services: Arrivals, now: float, boot_s: float, spread_cores: float, zones: int
 ) -> float:
-    """Cores to keep for replicas of services that may arrive, and of those in a lost zone.
+    """Cores to keep for replicas of services that may arrive, and for replicas of a lost zone.
 
     It is the sum of both, since services keep arriving while replacement machines boot.
     """
--- a/petrelthread/provisioning/scale_in_selection.py
+++ b/petrelthread/provisioning/scale_in_selection.py
@@ -25,7 +25,7 @@
     def unresponsive(self) -> list[Machine]:
         """Unresponsive machines that failed independently.
 
-        If most machines are unresponsive at once, the cause is more likely this controller or the
+        If most machines are unresponsive, the cause is more likely this controller or the
         network. The list is then empty: ``select`` waits until the machines' leases expire.
         """
         machines = self._fleet.machines.values()
--- a/petrelthread/provisioning/test_planner.py
+++ b/petrelthread/provisioning/test_planner.py
@@ -100,7 +100,7 @@
     assert [(r.zone, r.machine_count) for r in plan.scale_outs] == [(0, 50), (1, 25)]
 
 
-def test_large_on_demand_machine_needs_half_of_its_cores_lacking() -> None:
+def test_large_on_demand_machine_is_scaled_out_only_if_half_of_its_cores_are_needed() -> None:
     few = plan_for([demand(10, 400.0, 60.0)], [], [LARGE_ON_DEMAND])
     assert not few.scale_outs
     many = plan_for([demand(100, 4000.0, 60.0)], [], [LARGE_ON_DEMAND])
--- a/petrelthread/provisioning/test_provisioner.py
+++ b/petrelthread/provisioning/test_provisioner.py
@@ -12,16 +12,16 @@
 
 
 def test_scaled_in_machine_does_not_count_as_capacity_for_next_leader() -> None:
-    """Stale records would count them as booting capacity and suppress scale-outs."""
+    """A stale record would count the machine as booting capacity and suppress scale-outs."""
 
     async def scenario() -> None:
         simulation = Simulation()
         await simulation.submit(job_spec("wk-000001", 4, estimated_run_s=60.0))
         await simulation.wait_until_running(4)
         first = await simulation.wait_for_leader()
-        lost = next(iter(simulation.cloud.machines.values())).worker
-        simulation.network.partitions |= {frozenset((lost.name, n)) for n in NODES}
-        while not lost.terminated:
+        unreachable = next(iter(simulation.cloud.machines.values())).worker
+        simulation.network.partitions |= {frozenset((unreachable.name, n)) for n in NODES}
+        while not unreachable.terminated:
             await asyncio.sleep(0.5)
         await asyncio.sleep(3.0)
         recorded = [
@@ -30,11 +30,11 @@
             if k.startswith("pt/c/")
         ]
         assert recorded
-        assert all(lost.name not in names for names in recorded)
+        assert all(unreachable.name not in names for names in recorded)
         simulation.crash(first)
         await asyncio.sleep(8.0)
         new = simulation.nodes[await simulation.wait_for_leader()]
-        booting = [m for m in new.fleet.machines.values() if m.name == lost.name]
+        booting = [m for m in new.fleet.machines.values() if m.name == unreachable.name]
         assert not booting
 
     run_in_virtual_time(scenario())
--- a/petrelthread/provisioning/test_reserve.py
+++ b/petrelthread/provisioning/test_reserve.py
@@ -21,13 +21,13 @@
     services = Arrivals([(0.0, 8.0)])
     without = service_reserve_cores(services, 1.0, BOOT_S, 0.0, 3)
     assert without == 16.0  # twice the largest
-    # 60 replicas in three zones are 20 in each; after a loss 30 in each of two.
+    # 60 replicas are 20 in each of three zones; after the loss of one, 30 in each of two.
     assert service_reserve_cores(services, 1.0, BOOT_S, 60.0, 3) == without + 30.0
     assert zone_loss_reserve(60.0, 4) == 20.0
 
 
 def test_no_zone_loss_reserve_for_fewer_than_three_zones() -> None:
-    """At most half of a service may be in one zone, also in the last of two."""
+    """At most half of a service's replicas may be in one zone, even in the last of two."""
     assert zone_loss_reserve(60.0, 2) == zone_loss_reserve(60.0, 1) == 0.0
 
 
--- a/petrelthread/settings/model.py
+++ b/petrelthread/settings/model.py
@@ -9,7 +9,7 @@
 import msgspec
 
 UNLIMITED = 1e12  # above any real limit; finite, so that shares and counts stay finite
-CLOCK_DRIFT_FACTOR = 1.002  # maximum ratio of a duration on another clock to the same on this clock
+CLOCK_DRIFT_FACTOR = 1.002  # maximum ratio of a duration on another clock to one on this clock
 CANCELLATION_MARGIN_S = 3.0  # part of the cancellation deadline reserved for messages
 
 
@@ -39,12 +39,12 @@
 
     @property
     def max_cores(self) -> float:
-        """Maximum number of cores that the team's tasks may use at once."""
+        """Maximum number of cores that the team's tasks may use at the same time."""
         return self.cpus_max or UNLIMITED
 
     @property
     def max_accelerators(self) -> float:
-        """Maximum number of accelerators that the team's tasks may use at once."""
+        """Maximum number of accelerators that the team's tasks may use at the same time."""
         return self.gpus_max or UNLIMITED
 
 
@@ -153,7 +153,7 @@
 
     @property
     def lease_grace_s(self) -> float:
-        """How long after its last renewal a leader may still renew workers' leases.
+        """How long after the last renewal of its own lease a leader may renew workers' leases.
 
         A job may be cancelled just after that renewal, and its tasks must have ended within
         ``cancel_s``. That time must cover the grace period, a full worker lease and the margin.
--- a/petrelthread/settings/test_settings.py
+++ b/petrelthread/settings/test_settings.py
@@ -18,7 +18,7 @@
 
 
 def test_team_limit_of_zero_means_no_limit() -> None:
-    """DEPLOY says "0 means none". Taken as 0 cores, the limit refused all jobs of such a team."""
+    """DEPLOY says "0 means none". A limit of 0 cores would refuse all jobs of such a team."""
     guest = parse(VALID).cluster.teams[-1]
     assert (guest.name, guest.cpus, guest.cpus_max) == ("guest", 0.0, 0.0)
     assert guest.max_cores > 1e9
