--- a/petrelthread/fleet/test_task_reconciler.py
+++ b/petrelthread/fleet/test_task_reconciler.py
@@ -97,3 +97,21 @@
     fleet.on_heartbeat(heartbeat(2), 101.0, answered=False)
     assert attempt.state is not OperationState.SUPERSEDED
     assert fleet.cluster_state.jobs[0].live_attempts[0] is attempt
+
+
+def test_unrecorded_finished_task_counts_again_after_reelection_of_same_controller(
+    fleet: Fleet,
+) -> None:
+    """An election discards finished tasks that are not recorded; their workers list them again.
+
+    If the same controller is elected again, the attempt still has its reported state EXITED. The
+    heartbeats of the new epoch must count its task as finished even so; otherwise the job never
+    completes.
+    """
+    _, attempt = add_attempt(fleet, attempt_number(1))
+    done = exited(attempt.number, "done")
+    fleet.on_heartbeat(heartbeat(1, tasks=[done]), 101.0, answered=True)
+    fleet.step_down()
+    fleet.begin_leadership(EPOCH + 2, 110.0)
+    fleet.on_heartbeat(heartbeat(2, token=EPOCH + 2, tasks=[done]), 111.0, answered=True)
+    assert fleet.finished_tasks == {0: {0}}
